--- a/scale/src/main.rs
+++ b/scale/src/main.rs
@@ -1,10 +1,10 @@
 //! The command: reads a plan, checks that the machine bears it, plays it and prints what came of it.
 #![forbid(unsafe_code)]
 
-use beechworks_scale::plan::{Kind, Plan};
-use beechworks_scale::report::{self, Row};
-use beechworks_scale::{bounds, hollow_point, module, plan, real};
 use clap::Parser;
+use scale_test::plan::{Kind, Plan};
+use scale_test::report::{self, Row};
+use scale_test::{bounds, hollow_point, module, plan, real};
 use std::io::Write;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -33,7 +33,7 @@
     let level = std::env::var("SCALE_LOG").ok().and_then(|l| l.parse().ok()).unwrap_or(tracing::Level::ERROR);
     tracing_subscriber::fmt().with_max_level(level).with_writer(std::io::stderr).with_ansi(false).init();
     let told = |text: String, code: ExitCode| {
-        eprintln!("beechworks-scale: {text}");
+        eprintln!("scale-test: {text}");
         code
     };
     let plan = match accept(&arguments.plan) {
--- a/scale/src/real.rs
+++ b/scale/src/real.rs
@@ -29,7 +29,7 @@
 /// Where the program is: told by the plan, or beside this one.
 pub fn program(told: Option<&Path>) -> Result<PathBuf, String> {
     let own = std::env::current_exe().map_err(|e| format!("the path of this program: {e}"))?;
-    let found = told.map_or_else(|| own.with_file_name("gaugesaddle"), Path::to_path_buf);
+    let found = told.map_or_else(|| own.with_file_name("load-balancer-proxy"), Path::to_path_buf);
     match found.is_file() {
         true => Ok(found),
         false => Err(format!("program: expected the built proxy at {}", found.display())),
@@ -42,7 +42,7 @@
 impl Folder {
     /// Makes one of this process's own.
     pub fn make() -> Result<Folder, String> {
-        let path = std::env::temp_dir().join(format!("beechworks-scale-{}", std::process::id()));
+        let path = std::env::temp_dir().join(format!("scale-test-{}", std::process::id()));
         std::fs::create_dir_all(&path).map_err(|e| format!("{}: {e}", path.display()))?;
         Ok(Folder(path))
     }
--- a/scale/tests/command.rs
+++ b/scale/tests/command.rs
@@ -6,8 +6,7 @@
 fn run(name: &str, text: &str, more: &[&str]) -> Output {
     let file = std::env::temp_dir().join(format!("scale-{}-{name}.toml", std::process::id()));
     std::fs::write(&file, text).expect("written");
-    let output =
-        Command::new(env!("CARGO_BIN_EXE_beechworks-scale")).arg(&file).args(more).output().expect("run");
+    let output = Command::new(env!("CARGO_BIN_EXE_scale-test")).arg(&file).args(more).output().expect("run");
     std::fs::remove_file(&file).expect("removed");
     output
 }
@@ -19,11 +18,10 @@
     let output = run("bad", &format!("{MODULE}[[points]]\nbackends = 8\nclasses = 0\n"), &[]);
     assert_eq!(output.status.code(), Some(2));
     let line = String::from_utf8_lossy(&output.stderr).into_owned();
-    assert_eq!(line, "beechworks-scale: points[0].classes: expected a whole number from 1 to 20000\n");
+    assert_eq!(line, "scale-test: points[0].classes: expected a whole number from 1 to 20000\n");
     let over = run("over", &format!("{MODULE}[[points]]\nbackends = 8\nseeds = 100\n"), &[]);
     assert_eq!(over.status.code(), Some(2));
-    assert!(String::from_utf8_lossy(&over.stderr)
-        .starts_with("beechworks-scale: longest_s: expected at least 100"));
+    assert!(String::from_utf8_lossy(&over.stderr).starts_with("scale-test: longest_s: expected at least 100"));
 }
 
 #[test]
@@ -44,7 +42,7 @@
     let text = MODULE.replace("module", "hollow").replace("= 60", "= 100");
     let file = std::env::temp_dir().join(format!("scale-{}-interrupt.toml", std::process::id()));
     std::fs::write(&file, format!("{text}{point}")).expect("written");
-    let mut command = Command::new(env!("CARGO_BIN_EXE_beechworks-scale"));
+    let mut command = Command::new(env!("CARGO_BIN_EXE_scale-test"));
     let child = command.arg(&file).stdout(Stdio::null()).stderr(Stdio::piped()).spawn().expect("run");
     std::thread::sleep(std::time::Duration::from_secs(2));
     let pid = nix::unistd::Pid::from_raw(i32::try_from(child.id()).expect("a process id"));
@@ -52,5 +50,5 @@
     let output = child.wait_with_output().expect("ended");
     std::fs::remove_file(&file).expect("removed");
     assert_eq!(output.status.code(), Some(1));
-    assert_eq!(String::from_utf8_lossy(&output.stderr), "beechworks-scale: ended by SIGINT\n");
+    assert_eq!(String::from_utf8_lossy(&output.stderr), "scale-test: ended by SIGINT\n");
 }
--- a/scale/tests/discovery.rs
+++ b/scale/tests/discovery.rs
@@ -1,8 +1,8 @@
 //! The stand-in of discovery speaks the published protocol, and its troubles look as they should.
 
-use beechworks_scale::discovery::{Conduct, Costs, Discovery};
-use beechworks_scale::plan::parse;
-use beechworks_scale::site::{own_address, Register, Status};
+use scale_test::discovery::{Conduct, Costs, Discovery};
+use scale_test::plan::parse;
+use scale_test::site::{own_address, Register, Status};
 use serde_json::Value;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -66,7 +66,7 @@
     assert_eq!((whole["snapshot"].as_bool(), whole["index"].as_u64()), (Some(true), Some(1)));
     let endpoints = whole["endpoints"].as_array().expect("lines");
     assert_eq!(endpoints.len(), LINES as usize);
-    let read = beechworks::net::discovery::list(&beechworks::settings::Key::root(&whole));
+    let read = load_balancer::discovery::list(&load_balancer::wire::settings::Key::root(&whole));
     assert_eq!(read.map(|l| l.targets.len()), Ok(LINES as usize), "the proxy's own reader takes it");
     let began = Instant::now();
     let mut watch = send(discovery.address(), "/api/targets?after=1&wait_ms=9000");
--- a/scale/tests/hollow.rs
+++ b/scale/tests/hollow.rs
@@ -1,8 +1,8 @@
 //! Hollow proxies, few of them: what a plan of their kind rests on.
 
-use beechworks_scale::hollow_point;
-use beechworks_scale::plan::parse;
-use beechworks_scale::report::Row;
+use scale_test::hollow_point;
+use scale_test::plan::parse;
+use scale_test::report::Row;
 
 fn play(point: &str) -> Row {
     let head = "name = \"x\"\nkind = \"hollow\"\nover = \"proxies\"\nlongest_s = 60\n";
--- a/scale/tests/plans.rs
+++ b/scale/tests/plans.rs
@@ -1,7 +1,7 @@
 //! Plans: what is wrong with one is told in one line that names the key.
 
-use beechworks_scale::bounds::{machine, Machine};
-use beechworks_scale::plan::{parse, Plan};
+use scale_test::bounds::{machine, Machine};
+use scale_test::plan::{parse, Plan};
 
 const HEAD: &str = "name = \"x\"\nkind = \"real\"\nover = \"backends\"\nlongest_s = 600\n";
 
--- a/scale/tests/sums.rs
+++ b/scale/tests/sums.rs
@@ -1,8 +1,8 @@
 //! Sums that verdicts and tables rest on.
 
-use beechworks_scale::backends::{cold_limit, Fleet, Nature, Reception};
-use beechworks_scale::report::Row;
-use beechworks_scale::slopes::{fit, predict};
+use scale_test::backends::{cold_limit, Fleet, Nature, Reception};
+use scale_test::report::Row;
+use scale_test::slopes::{fit, predict};
 use std::time::{Duration, Instant};
 
 fn row(size: f64, value: f64) -> Row {
@@ -51,8 +51,8 @@
     let mut count = 0;
     for file in std::fs::read_dir(folder).expect("plans") {
         let path = file.expect("a file").path();
-        let plan = beechworks_scale::plan::load(&path).unwrap_or_else(|e| panic!("{}: {e}", path.display()));
-        let seconds: f64 = plan.points.iter().map(|p| beechworks_scale::bounds::seconds(plan.kind, p)).sum();
+        let plan = scale_test::plan::load(&path).unwrap_or_else(|e| panic!("{}: {e}", path.display()));
+        let seconds: f64 = plan.points.iter().map(|p| scale_test::bounds::seconds(plan.kind, p)).sum();
         assert!(seconds <= plan.longest_s, "{}: {seconds}", path.display());
         count += 1;
     }
--- a/src/bin/gaugesaddle/client_connection.rs
+++ b/src/bin/load-balancer-proxy/client_connection.rs
@@ -2,7 +2,7 @@
 //! how it is told to end.
 
 use crate::clock::{micros, Clock};
-use beechworks::{Micros, Time};
+use load_balancer::{Micros, Time};
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
--- a/src/bin/gaugesaddle/inbound.rs
+++ b/src/bin/load-balancer-proxy/client_socket.rs
@@ -48,13 +48,13 @@
 
 /// The socket as hyper holds it and as the connection's own task does.
 #[derive(Clone)]
-pub struct Inbound(Rc<RefCell<Socket>>);
+pub struct ClientSocket(Rc<RefCell<Socket>>);
 
-impl Inbound {
+impl ClientSocket {
     /// `activity` is told whenever something has come.
-    pub fn new(stream: TcpStream, activity: Rc<Activity>) -> Inbound {
+    pub fn new(stream: TcpStream, activity: Rc<Activity>) -> ClientSocket {
         let (io, ahead) = (TokioIo::new(stream), BytesMut::new());
-        Inbound(Rc::new(RefCell::new(Socket { io, ahead, cut: false, wrote: false, activity })))
+        ClientSocket(Rc::new(RefCell::new(Socket { io, ahead, cut: false, wrote: false, activity })))
     }
 
     /// Answers what has begun to come with an error, and ends the connection.
@@ -96,7 +96,7 @@
     }
 }
 
-impl Read for Inbound {
+impl Read for ClientSocket {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context, mut buf: ReadBufCursor) -> Poll<io::Result<()>> {
         let socket = &mut *self.0.borrow_mut();
         if socket.ahead.is_empty() && !socket.cut {
@@ -117,7 +117,7 @@
     }
 }
 
-impl Write for Inbound {
+impl Write for ClientSocket {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context, buf: &[u8]) -> Poll<io::Result<usize>> {
         let socket = &mut *self.0.borrow_mut();
         socket.wrote = true;
--- a/src/bin/gaugesaddle/clock.rs
+++ b/src/bin/load-balancer-proxy/clock.rs
@@ -1,6 +1,6 @@
 //! Time for the module: Unix microseconds, which backends' start times share.
 
-use beechworks::{Micros, Time};
+use load_balancer::{Micros, Time};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
--- a/src/bin/gaugesaddle/config.rs
+++ b/src/bin/load-balancer-proxy/config.rs
@@ -1,9 +1,9 @@
 //! `$BALANCER_CONFIG` into a checked struct.
 
-use beechworks::net::discovery::{self, List};
-use beechworks::net::failures;
-use beechworks::settings::{self, Key, Names};
-use beechworks::Micros;
+use load_balancer::discovery::{self, List};
+use load_balancer::net::failures;
+use load_balancer::wire::settings::{self, Key, Names};
+use load_balancer::Micros;
 use std::net::SocketAddr;
 use std::sync::Arc;
 
@@ -24,7 +24,7 @@
 pub struct Settings {
     /// Counts those in force since the start, from 1.
     pub version: u64,
-    pub module: beechworks::Config,
+    pub module: load_balancer::Config,
     pub names: Names,
     /// Requests that may be open at once; more are turned away before the module.
     pub open_cap: usize,
--- a/src/bin/gaugesaddle/driver.rs
+++ b/src/bin/load-balancer-proxy/dispatcher.rs
@@ -4,10 +4,10 @@
 use crate::clock::Clock;
 use crate::config::Settings;
 use crate::upstream::{Call, Ended, Pool, Upstream};
-use beechworks::net::discovery::Target;
-use beechworks::*;
 use bytes::Bytes;
 use hyper::Response;
+use load_balancer::discovery::Target;
+use load_balancer::*;
 use std::cell::Cell;
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, BinaryHeap, HashMap, VecDeque};
@@ -86,14 +86,14 @@
     }
 }
 
-/// What the driver tells the rest of the program.
+/// What the dispatcher tells the rest of the program.
 #[derive(Default)]
 pub struct Status {
     /// Some backend can be sent requests.
     pub serving: Cell<bool>,
 }
 
-pub struct Driver {
+pub struct Dispatcher {
     clock: Clock,
     settings: Arc<Settings>,
     seed: u64,
@@ -158,7 +158,7 @@
 /// Ticks after a deadline in which the module may still answer: its timers come a tick late at most.
 const GRACE_TICKS: u64 = 2;
 
-/// What the driver shares with the rest of the program.
+/// What the dispatcher shares with the rest of the program.
 pub struct Shared {
     pub pool: Rc<Pool>,
     pub inputs: mpsc::UnboundedSender<Input>,
@@ -166,10 +166,10 @@
     pub status: Rc<Status>,
 }
 
-impl Driver {
-    pub fn new(settings: Arc<Settings>, seed: u64, shared: Shared) -> Result<Driver, ConfigError> {
+impl Dispatcher {
+    pub fn new(settings: Arc<Settings>, seed: u64, shared: Shared) -> Result<Dispatcher, ConfigError> {
         let Shared { pool, inputs, follow, status } = shared;
-        Ok(Driver {
+        Ok(Dispatcher {
             clock: pool.clock,
             balancer: Balancer::new(settings.module.clone(), seed)?,
             settings,
@@ -548,25 +548,34 @@
             longest: second,
         };
         let shared = Shared { pool, inputs, follow, status };
-        let mut driver = Driver::new(Arc::new(settings), 1, shared).expect("sound");
+        let mut dispatcher = Dispatcher::new(Arc::new(settings), 1, shared).expect("sound");
         let (id, (reply, mut answer)) = (RequestId(1), oneshot::channel());
         let call = Rc::new(Call::new(hyper::Request::new(()), Bytes::new(), Micros(0)));
         let deadline = clock.now() + Micros(1_000_000);
         let (class, tenant, work_hint, repeat) = (ClassId(0), None, None, false);
-        driver.take(Input::Arrived(Arrived { id, class, tenant, deadline, work_hint, repeat, call, reply }));
+        dispatcher.take(Input::Arrived(Arrived {
+            id,
+            class,
+            tenant,
+            deadline,
+            work_hint,
+            repeat,
+            call,
+            reply,
+        }));
         let sent = clock.now();
         let task = tokio::spawn(std::future::pending::<()>()).abort_handle();
-        let open = driver.requests.get_mut(&id).expect("open");
+        let open = dispatcher.requests.get_mut(&id).expect("open");
         open.attempts.insert(AttemptNo(0), Attempt { sent, task });
         open.count = 1;
         let ended = Ended { outcome: Outcome::Ok, answer: Some(Response::new(Bytes::new())) };
-        driver.take(Input::Ended(id, AttemptNo(0), ended));
+        dispatcher.take(Input::Ended(id, AttemptNo(0), ended));
         assert!(matches!(answer.try_recv(), Ok(Answer::Served(_))), "at once");
-        driver.dispatch(clock.now(), id, BackendId(7), None);
-        let Some(Event::AttemptEnded(end)) = driver.events.last() else { panic!("an outcome") };
+        dispatcher.dispatch(clock.now(), id, BackendId(7), None);
+        let Some(Event::AttemptEnded(end)) = dispatcher.events.last() else { panic!("an outcome") };
         let expected = (AttemptNo(1), Outcome::NeverSent, true);
         assert_eq!((end.attempt, end.outcome, end.settled), expected);
-        driver.drop_over();
-        assert!(driver.requests.is_empty() && driver.deadlines.is_empty());
+        dispatcher.drop_over();
+        assert!(dispatcher.requests.is_empty() && dispatcher.deadlines.is_empty());
     }
 }
--- a/src/bin/gaugesaddle/acceptor.rs
+++ b/src/bin/load-balancer-proxy/listener.rs
@@ -1,6 +1,6 @@
 //! The listening socket: clients' connections one by one, whatever goes wrong with a single call.
 
-use beechworks::net::failures;
+use load_balancer::net::failures;
 use std::future::poll_fn;
 use std::io;
 use std::task::{Context, Poll};
--- a/src/bin/gaugesaddle/main.rs
+++ b/src/bin/load-balancer-proxy/main.rs
@@ -1,22 +1,23 @@
 //! The HTTP proxy: start-up, signals and exit codes. Every decision is the library's.
 #![forbid(unsafe_code)]
 
-mod acceptor;
-mod backend_socket;
 mod client_connection;
+mod client_socket;
 mod clock;
 mod config;
-mod driver;
-mod event_loop;
-mod inbound;
+mod dispatcher;
+mod listener;
 mod reload;
 mod server;
+mod stall_detector;
 mod upstream;
+mod upstream_socket;
 
-use beechworks::net::start_times::StartTimes;
-use beechworks::net::{discovery, failures};
 use clock::Clock;
-use event_loop::EventLoop;
+use load_balancer::discovery;
+use load_balancer::discovery::start_times::StartTimes;
+use load_balancer::net::failures;
+use stall_detector::StallDetector;
 use std::cell::{Cell, RefCell};
 use std::io;
 use std::net::SocketAddr;
@@ -33,13 +34,13 @@
 const LISTEN_QUEUE: u32 = 1024;
 
 fn main() -> ExitCode {
-    let verbose = std::env::var("GAUGESADDLE_LOG").ok().and_then(|l| l.parse().ok());
+    let verbose = std::env::var("BALANCER_LOG").ok().and_then(|l| l.parse().ok());
     let level = verbose.unwrap_or(tracing::Level::INFO);
     tracing_subscriber::fmt().with_max_level(level).with_writer(std::io::stderr).with_ansi(false).init();
     match config::load().and_then(run) {
         Ok(()) => ExitCode::SUCCESS,
         Err(text) => {
-            eprintln!("gaugesaddle: {text}");
+            eprintln!("load-balancer-proxy: {text}");
             ExitCode::FAILURE
         }
     }
@@ -47,16 +48,16 @@
 
 fn run(config: config::Config) -> Result<(), String> {
     let clock = Clock::new();
-    let event_loop = EventLoop::new(clock);
+    let stall_detector = StallDetector::new(clock);
     let build = || {
-        let watched = event_loop.clone();
+        let watched = stall_detector.clone();
         tokio::runtime::Builder::new_current_thread()
             .enable_all()
             .on_thread_unpark(move || watched.looked())
             .build()
     };
     let runtime = failures::with_means(build).map_err(|e| format!("runtime: {e}"))?;
-    tokio::task::LocalSet::new().block_on(&runtime, serve(config, clock, event_loop))
+    tokio::task::LocalSet::new().block_on(&runtime, serve(config, clock, stall_detector))
 }
 
 fn listen(address: SocketAddr) -> io::Result<TcpListener> {
@@ -66,7 +67,7 @@
     socket.listen(LISTEN_QUEUE)
 }
 
-async fn serve(config: config::Config, clock: Clock, event_loop: EventLoop) -> Result<(), String> {
+async fn serve(config: config::Config, clock: Clock, stall_detector: StallDetector) -> Result<(), String> {
     let mut terminate = signal(SignalKind::terminate()).map_err(|e| format!("SIGTERM: {e}"))?;
     let mut interrupt = signal(SignalKind::interrupt()).map_err(|e| format!("SIGINT: {e}"))?;
     let hangup = signal(SignalKind::hangup()).map_err(|e| format!("SIGHUP: {e}"))?;
@@ -76,18 +77,18 @@
     // Where it was told port 0 this line alone tells the port.
     let bound = listener.local_addr().map_err(|e| format!("listen: {e}"))?;
     tracing::info!("listening on {bound}");
-    tokio::task::spawn_local(event_loop.clone().keep_looking());
+    tokio::task::spawn_local(stall_detector.clone().keep_looking());
     // Clients and backends share what the rest leaves.
     let clients = (config.sockets - RESERVE) / 2;
     let backends = config.sockets - RESERVE - clients;
     let (sender, inputs) = mpsc::unbounded_channel();
-    let (follow, status) = (Rc::new(Notify::new()), Rc::new(driver::Status::default()));
+    let (follow, status) = (Rc::new(Notify::new()), Rc::new(dispatcher::Status::default()));
     let serving = status.clone();
     let settings = &config.settings;
     let pool = Rc::new(upstream::Pool::new(clock, settings.dial_timeout, settings.conn_idle, backends));
     let server = Rc::new(server::Server {
         clock,
-        event_loop,
+        stall_detector,
         settings: RefCell::new(settings.clone()),
         most: clients,
         inputs: sender.clone(),
@@ -116,19 +117,19 @@
         tell: {
             let inputs = sender.clone();
             Box::new(move |update, targets| {
-                let _ = inputs.send(driver::Input::List(update, targets));
+                let _ = inputs.send(dispatcher::Input::List(update, targets));
             })
         },
     };
-    let _ = sender.send(driver::Input::List(beechworks::ListUpdate::Cached, known));
-    let shared = driver::Shared { pool, inputs: sender, follow, status };
-    let driver = driver::Driver::new(config.settings, config.seed, shared);
-    let driver = driver.map_err(|e| format!("settings: {e}"))?;
-    let driver = tokio::task::spawn_local(driver.run(inputs));
+    let _ = sender.send(dispatcher::Input::List(load_balancer::ListUpdate::Cached, known));
+    let shared = dispatcher::Shared { pool, inputs: sender, follow, status };
+    let dispatcher = dispatcher::Dispatcher::new(config.settings, config.seed, shared);
+    let dispatcher = dispatcher.map_err(|e| format!("settings: {e}"))?;
+    let dispatcher = tokio::task::spawn_local(dispatcher.run(inputs));
     tokio::task::spawn_local(async move {
-        // Without its driver the proxy fails what it is sent; it says so, that no more is sent.
-        if let Err(e) = driver.await {
-            tracing::error!("the driver ended: {e}");
+        // Without its dispatcher the proxy fails what it is sent; it says so, that no more is sent.
+        if let Err(e) = dispatcher.await {
+            tracing::error!("the dispatcher ended: {e}");
         }
         serving.serving.set(false);
     });
--- a/src/bin/gaugesaddle/reload.rs
+++ b/src/bin/load-balancer-proxy/reload.rs
@@ -2,11 +2,11 @@
 
 use crate::clock::duration;
 use crate::config::{self, Config, Settings};
-use crate::driver::{Configured, Input};
+use crate::dispatcher::{Configured, Input};
 use crate::server::Server;
-use beechworks::net::discovery::Terms;
-use beechworks::net::failures;
-use beechworks::{ConfigUpdate, Discovery};
+use load_balancer::discovery::Terms;
+use load_balancer::net::failures;
+use load_balancer::{ConfigUpdate, Discovery};
 use std::cell::Cell;
 use std::io;
 use std::net::SocketAddr;
@@ -16,7 +16,7 @@
 use tokio::signal::unix::Signal;
 use tokio::sync::{oneshot, watch};
 
-/// Holders of the settings in force: the server and the driver.
+/// Holders of the settings in force: the server and the dispatcher.
 const HOLDERS: usize = 2;
 
 /// What keeps its value until a restart.
@@ -142,7 +142,7 @@
         Ok(loaded)
     }
 
-    /// Requests before and after this step each find one configuration: no task runs meanwhile, and the driver hears of
+    /// Requests before and after this step each find one configuration: no task runs meanwhile, and the dispatcher hears of
     /// it in turn.
     fn put_in_force(&self, loaded: Loaded) {
         for kept in loaded.kept {
--- a/src/bin/gaugesaddle/server.rs
+++ b/src/bin/load-balancer-proxy/server.rs
@@ -1,14 +1,13 @@
 //! The client side: connections, the form of requests, answers.
 
-use crate::acceptor::{Accepted, Acceptor, Queue};
 use crate::client_connection::{ClientConnection, Ending};
+use crate::client_socket::ClientSocket;
 use crate::clock::{micros, Clock};
 use crate::config::Settings;
-use crate::driver::{Answer, Arrived, Input, Status};
-use crate::event_loop::EventLoop;
-use crate::inbound::Inbound;
+use crate::dispatcher::{Answer, Arrived, Input, Status};
+use crate::listener::{Accepted, Acceptor, Queue};
+use crate::stall_detector::StallDetector;
 use crate::upstream::{strip, Call, BODY_BYTES, CORRELATION, TIME_LEFT};
-use beechworks::{Effect, Micros, RequestId, Time};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
 use hyper::body::{Body, Incoming};
@@ -17,6 +16,7 @@
 use hyper::server::conn::http1;
 use hyper::{Method, Request, Response, StatusCode};
 use hyper_util::rt::TokioTimer;
+use load_balancer::{Effect, Micros, RequestId, Time};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::convert::Infallible;
@@ -49,8 +49,8 @@
 /// What the handlers of all connections share.
 pub struct Server {
     pub clock: Clock,
-    pub event_loop: EventLoop,
-    /// Replaced in one step with the input that tells the driver: nobody keeps hold of it over a wait.
+    pub stall_detector: StallDetector,
+    /// Replaced in one step with the input that tells the dispatcher: nobody keeps hold of it over a wait.
     pub settings: RefCell<Arc<Settings>>,
     /// Client connections that may be open.
     pub most: usize,
@@ -62,7 +62,7 @@
     pub freed: Notify,
 }
 
-/// A request of which the driver knows; dropped before it is answered, its client has gone.
+/// A request of which the dispatcher knows; dropped before it is answered, its client has gone.
 struct Ticket<'a> {
     id: RequestId,
     call: Rc<Call>,
@@ -111,7 +111,7 @@
                 () = &mut stop, if !self.stopping.get() => {
                     self.stopping.set(true);
                     let longest = self.settings.borrow().longest;
-                    let told = Time(self.clock.now().0.saturating_sub(self.event_loop.unseen().0));
+                    let told = Time(self.clock.now().0.saturating_sub(self.stall_detector.unseen().0));
                     last = told + longest.min(LAST_DEADLINE) + LAST_ANSWER;
                     let _ = self.inputs.send(Input::Stop(last));
                     end.as_mut().reset(tokio::time::Instant::now() + STOP_ACCEPTING);
@@ -204,7 +204,7 @@
         let service = hyper::service::service_fn(|request| self.handle(request, client));
         let mut http = http1::Builder::new();
         http.timer(TokioTimer::new()).header_read_timeout(None);
-        let socket = Inbound::new(stream, client.activity.clone());
+        let socket = ClientSocket::new(stream, client.activity.clone());
         let connection = http.serve_connection(socket.clone(), service);
         tokio::pin!(connection);
         let left = poll_fn(|cx| if client.waiting.get() { socket.poll_left(cx) } else { Poll::Pending });
@@ -266,7 +266,7 @@
             };
         }
         let came = self.clock.now();
-        let unseen = Micros(self.event_loop.unseen().0 + client.waited().0);
+        let unseen = Micros(self.stall_detector.unseen().0 + client.waited().0);
         let (mut head, body) = request.into_parts();
         let mut form = match read(&self.settings.borrow(), &head, body.size_hint().exact()) {
             Ok(form) => form,
@@ -290,7 +290,7 @@
             Some(Err(_)) => return plain(StatusCode::BAD_REQUEST, "the body is broken"),
             None => return plain(StatusCode::REQUEST_TIMEOUT, "the body did not come in time"),
         };
-        // Its last byte has come: class, tenant and terms are those in force now, and the driver takes it before it
+        // Its last byte has come: class, tenant and terms are those in force now, and the dispatcher takes it before it
         // hears of others.
         if form.version != self.settings.borrow().version {
             form = match read(&self.settings.borrow(), &head, Some(body.len() as u64)) {
@@ -393,8 +393,8 @@
 struct Form {
     /// Of the settings under which it was read.
     version: u64,
-    class: beechworks::ClassId,
-    tenant: Option<beechworks::TenantId>,
+    class: load_balancer::ClassId,
+    tenant: Option<load_balancer::TenantId>,
     time_left: Micros,
     /// So long before that time is over the answer is due.
     margin: Micros,
--- a/src/bin/gaugesaddle/event_loop.rs
+++ b/src/bin/load-balancer-proxy/stall_detector.rs
@@ -2,7 +2,7 @@
 //! clients' time runs on.
 
 use crate::clock::Clock;
-use beechworks::{Micros, Time};
+use load_balancer::{Micros, Time};
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
@@ -25,15 +25,15 @@
 
 /// Watches the event loop of the process.
 #[derive(Clone)]
-pub struct EventLoop {
+pub struct StallDetector {
     clock: Clock,
     looks: Arc<Mutex<Looks>>,
 }
 
-impl EventLoop {
-    pub fn new(clock: Clock) -> EventLoop {
+impl StallDetector {
+    pub fn new(clock: Clock) -> StallDetector {
         let now = clock.now();
-        EventLoop { clock, looks: Arc::new(Mutex::new(Looks { last: now, before: now, hold_up: None })) }
+        StallDetector { clock, looks: Arc::new(Mutex::new(Looks { last: now, before: now, hold_up: None })) }
     }
 
     /// The loop has just asked the system for events: to be called each time.
--- a/src/bin/gaugesaddle/upstream.rs
+++ b/src/bin/load-balancer-proxy/upstream.rs
@@ -1,15 +1,15 @@
 //! Connections to backends: the pool, and one attempt to one outcome.
 
-use crate::backend_socket::{BackendSocket, Progress};
 use crate::clock::{duration, Clock};
-use beechworks::net::dial::{self, DialError};
-use beechworks::net::discovery::Target;
-use beechworks::{BackendState, Micros, Outcome, Time};
+use crate::upstream_socket::{Progress, UpstreamSocket};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
 use hyper::client::conn::http1::{self, Connection, SendRequest};
 use hyper::header::{HeaderMap, HeaderName, HeaderValue};
 use hyper::{Request, Response, StatusCode};
+use load_balancer::discovery::Target;
+use load_balancer::net::dial::{self, DialError};
+use load_balancer::{BackendState, Micros, Outcome, Time};
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::future::{poll_fn, Future};
@@ -164,7 +164,7 @@
 /// A connection, driven only by the attempt that uses it: dropping it closes the socket at once.
 struct Link {
     sender: SendRequest<Full<Bytes>>,
-    driving: Pin<Box<Connection<BackendSocket, Full<Bytes>>>>,
+    driving: Pin<Box<Connection<UpstreamSocket, Full<Bytes>>>>,
     progress: Rc<Progress>,
     /// The connection has run to its end.
     ended: bool,
@@ -308,7 +308,7 @@
             }
         })?;
         let progress = Rc::new(Progress::default());
-        let socket = BackendSocket::new(stream, progress.clone());
+        let socket = UpstreamSocket::new(stream, progress.clone());
         let (sender, connection) = http1::handshake(socket).await.map_err(|_| Outcome::ConnectFailed)?;
         Ok(Link { sender, driving: Box::pin(connection), progress, ended: false, _slot: slot })
     }
--- a/src/bin/gaugesaddle/backend_socket.rs
+++ b/src/bin/load-balancer-proxy/upstream_socket.rs
@@ -25,16 +25,16 @@
 }
 
 /// A socket that tells how far the request has come: what was not handed over whole has never run.
-pub struct BackendSocket {
+pub struct UpstreamSocket {
     io: TokioIo<TcpStream>,
     progress: Rc<Progress>,
     /// Some call on it has failed: the system tells an error once, and what looks like an end after it is none.
     failed: bool,
 }
 
-impl BackendSocket {
-    pub fn new(stream: TcpStream, progress: Rc<Progress>) -> BackendSocket {
-        BackendSocket { io: TokioIo::new(stream), progress, failed: false }
+impl UpstreamSocket {
+    pub fn new(stream: TcpStream, progress: Rc<Progress>) -> UpstreamSocket {
+        UpstreamSocket { io: TokioIo::new(stream), progress, failed: false }
     }
 
     fn note<T>(&mut self, done: Poll<io::Result<T>>) -> Poll<io::Result<T>> {
@@ -58,7 +58,7 @@
     }
 }
 
-impl Read for BackendSocket {
+impl Read for UpstreamSocket {
     fn poll_read(mut self: Pin<&mut Self>, cx: &mut Context, mut to: ReadBufCursor) -> Poll<io::Result<()>> {
         let mut chunk = [const { MaybeUninit::uninit() }; CHUNK];
         let room = to.remaining().min(CHUNK);
@@ -72,7 +72,7 @@
     }
 }
 
-impl Write for BackendSocket {
+impl Write for UpstreamSocket {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context, buf: &[u8]) -> Poll<io::Result<usize>> {
         let wrote = Pin::new(&mut self.io).poll_write(cx, buf);
         self.note_written(wrote)
--- a/src/bin/beechworks-simhost/wire.rs
+++ b/src/bin/simulator-adapter/host.rs
@@ -1,7 +1,7 @@
 //! Lines to events, actions to lines.
 
-use beechworks::settings::{self, number, Key, Names};
-use beechworks::*;
+use load_balancer::wire::settings::{self, number, Key, Names};
+use load_balancer::*;
 use serde_json::Value;
 use std::collections::HashMap;
 use std::io::Write;
@@ -148,7 +148,7 @@
         let instance = match made {
             Ok((balancer, names)) => Some(Instance { balancer, names }),
             Err(text) => {
-                eprintln!("beechworks-simhost: settings of {who}: {text}");
+                eprintln!("simulator-adapter: settings of {who}: {text}");
                 put(reply, &serde_json::json!(["BROKEN", who, format!("settings: {text}")]));
                 None
             }
--- a/src/bin/beechworks-simhost/main.rs
+++ b/src/bin/simulator-adapter/main.rs
@@ -1,8 +1,8 @@
-//! Speaks the bench's wire on standard input and output: one [`beechworks::Balancer`] per instance.
+//! Speaks the bench's wire on standard input and output: one [`load_balancer::Balancer`] per instance.
 //! Translation only; every decision is the library's.
 #![forbid(unsafe_code)]
 
-mod wire;
+mod host;
 
 use std::io::{BufRead, Write};
 
@@ -11,14 +11,14 @@
     match run(stdin, stdout) {
         Ok(()) => std::process::ExitCode::SUCCESS,
         Err(text) => {
-            eprintln!("beechworks-simhost: {text}");
+            eprintln!("simulator-adapter: {text}");
             std::process::ExitCode::FAILURE
         }
     }
 }
 
 fn run(mut input: impl BufRead, mut output: impl Write) -> Result<(), String> {
-    let mut host = wire::Host::default();
+    let mut host = host::Host::default();
     let (mut line, mut number) = (String::new(), 0u64);
     let mut reply = Vec::new();
     loop {
--- a/src/net/discovery.rs
+++ b/src/discovery/mod.rs
@@ -1,14 +1,16 @@
 //! The list of backends: its form, and the watch on it.
 
-use super::dial::{self, DialError};
-use super::start_times::StartTimes;
-use crate::settings::{number, Key};
+pub mod start_times;
+
+use crate::net::dial::{self, DialError};
+use crate::wire::settings::{number, Key};
 use crate::{Backend, BackendId, BackendState, CellId, Discovery, KindId, ListUpdate, Time, ZoneId};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty, Limited};
 use hyper::client::conn::http1::{self, SendRequest};
 use hyper::{Request, StatusCode};
 use hyper_util::rt::TokioIo;
+use start_times::StartTimes;
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/src/net/start_times.rs
+++ b/src/discovery/start_times.rs
@@ -5,7 +5,7 @@
 //! comes, and one that comes as news has started no longer ago than the last list without it. A start that is placed
 //! too late only lets its backend warm up too late; one that is placed too early would skip its slow start.
 
-use super::discovery::Target;
+use super::Target;
 use crate::{BackendId, BackendState, Time};
 use std::collections::{HashMap, HashSet};
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -7,13 +7,14 @@
 #![warn(missing_docs)]
 
 mod aperture;
+pub mod discovery;
 mod ejection;
 mod interface;
 mod logic;
 pub mod net;
 mod ramp;
-pub mod settings;
 mod state;
+pub mod wire;
 
 pub use interface::*;
 pub use logic::halb_shares;
--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -24,7 +24,7 @@
 
 /// Runs the adapter on `input`; gives its output, its error text and whether it ended well.
 fn run(input: &str) -> (String, String, bool) {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_beechworks-simhost"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! A host for one balancer that carries out its actions and checks every rule as it goes.
 #![allow(dead_code)]
 
-use beechworks::*;
+use load_balancer::*;
 use std::collections::BTreeMap;
 
 #[derive(Clone)]
--- a/tests/configured.rs
+++ b/tests/configured.rs
@@ -1,8 +1,8 @@
 //! A configuration replaced while the module runs: what comes into force, what stays, what requests in hand keep.
 
 mod common;
-use beechworks::*;
 use common::{backend, class, serve, Host};
+use load_balancer::*;
 use proptest::prelude::*;
 use proptest::test_runner::{RngAlgorithm, TestRng, TestRunner};
 
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -1,8 +1,8 @@
 //! The watch on the list of backends, against a stand-in of discovery on loopback.
 
-use beechworks::net::discovery::{Target, Terms, Watch};
-use beechworks::net::start_times::StartTimes;
-use beechworks::{Discovery, ListUpdate, Micros, Time};
+use load_balancer::discovery::start_times::StartTimes;
+use load_balancer::discovery::{Target, Terms, Watch};
+use load_balancer::{Discovery, ListUpdate, Micros, Time};
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -1,8 +1,8 @@
 //! One small test for each behaviour and each failure found, through the public interface.
 
 mod common;
-use beechworks::*;
 use common::{backend, class, serve, Host};
+use load_balancer::*;
 use rand_core::{RngCore, SeedableRng};
 use std::collections::BTreeSet;
 
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,8 +1,8 @@
 //! What many proxies do together, each a module of its own that knows nothing of the others.
 
 mod common;
-use beechworks::*;
 use common::{backend, serve, Host};
+use load_balancer::*;
 use rand_core::{RngCore, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/tests/growth.rs
+++ b/tests/growth.rs
@@ -2,8 +2,8 @@
 //! The traffic of a proxy stays the same. Modules alone, with a pool of connections as the proxy keeps it.
 
 mod common;
-use beechworks::*;
 use common::{backend, Host};
+use load_balancer::*;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 use std::cmp::Reverse;
--- a/tests/halb.rs
+++ b/tests/halb.rs
@@ -1,6 +1,6 @@
 //! Shares against values worked by hand from the paper's formula.
 
-use beechworks::halb_shares;
+use load_balancer::halb_shares;
 
 fn close(got: Vec<f64>, want: &[f64]) {
     assert_eq!(got.len(), want.len());
--- a/tests/invariants.rs
+++ b/tests/invariants.rs
@@ -1,8 +1,8 @@
 //! The rules as invariants over generated sequences of events; `common::Host` checks each action.
 
 mod common;
-use beechworks::*;
 use common::{backend, class, Host};
+use load_balancer::*;
 use proptest::prelude::*;
 use proptest::test_runner::{RngAlgorithm, TestRng, TestRunner};
 
--- a/tests/proxy/sockets.rs
+++ b/tests/proxy/sockets.rs
@@ -389,16 +389,19 @@
     }
 
     fn launch_among(faults: Option<&Faults>, config: &Value, descriptors: &str) -> Proxy {
-        let name =
-            format!("gaugesaddle-{}-{}.json", std::process::id(), FILES.fetch_add(1, Ordering::Relaxed));
+        let name = format!(
+            "load-balancer-proxy-{}-{}.json",
+            std::process::id(),
+            FILES.fetch_add(1, Ordering::Relaxed)
+        );
         let file = std::env::temp_dir().join(name);
         std::fs::write(&file, config.to_string()).unwrap();
         let limit =
             if descriptors == "unlimited" { String::new() } else { format!("ulimit -n {descriptors}; ") };
         let mut child = Command::new("sh")
-            .args(["-c", &format!("{limit}exec \"$0\""), env!("CARGO_BIN_EXE_gaugesaddle")])
+            .args(["-c", &format!("{limit}exec \"$0\""), env!("CARGO_BIN_EXE_load-balancer-proxy")])
             .env("BALANCER_CONFIG", &file)
-            .env("GAUGESADDLE_LOG", "debug")
+            .env("BALANCER_LOG", "debug")
             .envs(faults.iter().flat_map(|f| f.environment()))
             .stdin(Stdio::null())
             .stderr(Stdio::piped())
--- a/tests/ramp.rs
+++ b/tests/ramp.rs
@@ -3,8 +3,8 @@
 //! nothing of the others, and their attempts all take the time that one request takes a warm backend.
 
 mod common;
-use beechworks::*;
 use common::{backend, Host};
+use load_balancer::*;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 
--- a/tests/start_times.rs
+++ b/tests/start_times.rs
@@ -1,9 +1,9 @@
 //! Where starts are placed that the list tells in a wall clock's time, by a process whose clock has nothing to do with
 //! that one.
 
-use beechworks::net::discovery::Target;
-use beechworks::net::start_times::StartTimes;
-use beechworks::{Backend, BackendId, BackendState, Time};
+use load_balancer::discovery::start_times::StartTimes;
+use load_balancer::discovery::Target;
+use load_balancer::{Backend, BackendId, BackendState, Time};
 
 const SECOND: u64 = 1_000_000;
 /// When the process starts, by its own clock.
