--- a/scale/src/site.rs
+++ b/scale/src/site.rs
@@ -8,7 +8,7 @@
 
 /// The site's rules, as its settings tell them.
 pub const COLD_FROM: f64 = 0.3;
-/// A started_at backend is warm after this time.
+/// A started backend is warm after this time.
 pub const RAMP_US: u64 = 10_000_000;
 /// A cold backend sent more than this multiple of its present capacity falls ...
 pub const FALL_MULTIPLE: f64 = 2.5;
