--- a/src/action.rs
+++ b/src/action.rs
@@ -47,7 +47,7 @@
     Log(LogEvent),
 }
 
-/// What operators are told of.
+/// What is logged for operators.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LogEvent {
     /// The subscription to the endpoint list was lost; a call follows after a backoff.
--- a/src/balancer/admission.rs
+++ b/src/balancer/admission.rs
@@ -21,7 +21,7 @@
 const LATE_ANSWER_WEIGHT: f64 = 2.0;
 /// Requests a second from which the step is cut: it must not outrun the answers that tell its effect.
 const FULL_STEP_RATE: f64 = 10.0;
-/// Value of a client retry beside a first try, at least: some are still served in time.
+/// Value of a client retry beside a first attempt, at least: some are still served in time.
 const LEAST_RETRY_VALUE: f64 = 0.1;
 
 /// The admitted part of the traffic, and what it is made of.
@@ -54,7 +54,7 @@
     }
 
     /// Takes in whether an answer was prompt. The fraction moves by answers, not by arrivals: it returns
-    /// slowly after deep shedding, which lets choked backends rest.
+    /// slowly after deep shedding, while overloaded backends work off what they have.
     pub fn record_answer(&mut self, config: &Config, arrival_rate: Option<f64>, is_prompt: bool) {
         if !Self::is_adaptive(config) {
             return;
@@ -98,8 +98,9 @@
     own: f64,
 }
 
-/// Value of a request beside a first try within quota. A client that retries waited for its first try: what
-/// is left to earn is mostly the late weight, and serving it before a new request would make both late.
+/// Value of a request beside a first attempt within quota. A client that retries waited for its first
+/// attempt: what is left to earn is mostly the late weight, and serving it before a new request would make
+/// both late.
 pub(super) fn relative_value(
     config: &Config, late_weight_fraction: f64, is_client_retry: bool, over_quota: bool,
 ) -> f64 {
--- a/src/balancer/attempt_outcome.rs
+++ b/src/balancer/attempt_outcome.rs
@@ -1,7 +1,7 @@
 //! The end of an attempt: what it tells of backends and classes, and what follows for its request.
 
 use super::admission::prompt_limit;
-use super::request::InFlightAttempt;
+use super::request::{AttemptId, InFlightAttempt};
 use super::Balancer;
 use crate::action::LogEvent;
 use crate::event::{AttemptResult, Outcome};
@@ -21,7 +21,8 @@
     /// Learns from an attempt that ended; its request is closed, or queued for a retry.
     pub(super) fn attempt_ended(&mut self, now: Time, result: AttemptResult) {
         let id = result.request;
-        let Some(attempt) = self.attempts.remove(&(id, result.attempt)) else { return };
+        let ended = AttemptId { request: id, number: result.attempt };
+        let Some(attempt) = self.attempts.remove(&ended) else { return };
         let outcome = judged_outcome(&result, &attempt);
         let tells_promptness = matches!(outcome, Outcome::Success | Outcome::TimedOut);
         if tells_promptness && !attempt.is_late {
--- a/src/balancer/concurrency_limit.rs
+++ b/src/balancer/concurrency_limit.rs
@@ -17,7 +17,7 @@
 /// What bounds the attempts in flight at one backend.
 #[derive(Default)]
 pub(super) struct ConcurrencyLimit {
-    /// Attempts of this proxy that it may hold.
+    /// Attempts of this proxy that may be in flight there.
     own: f64,
     /// Least time of late from a dispatch to its answer, in seconds: mostly the way there and back.
     least_round_trip_secs: Option<f64>,
@@ -31,9 +31,9 @@
         self.least_round_trip_secs = Some(least);
     }
 
-    /// Attempts of all proxies that the backend may hold at that readiness. Half of the usual number may wait
-    /// or be worked on there; as many as it works off meanwhile may be on their way, which keep it busy and
-    /// do not crowd it.
+    /// Attempts of all proxies that may be in flight at the backend, at that readiness. Half of the usual
+    /// number may wait or be worked on there; as many as it works off meanwhile may be on their way, which
+    /// keep it busy and do not overload it.
     pub fn fleet_limit(&self, readiness: f64, expected_work_secs: Option<f64>) -> f64 {
         let on_the_way = match (self.least_round_trip_secs, expected_work_secs) {
             (Some(round_trip), Some(work)) => (round_trip - work) / work.max(LEAST_WORK_SECS),
@@ -43,12 +43,12 @@
     }
 
     /// Sets this proxy's part: half of an equal part goes by zone preference. With many proxies a part is
-    /// below one: turns keep the sum at the limit, where one each would crowd every backend.
+    /// below one: turns keep the sum at the limit, where one each would overload every backend.
     pub fn set_own(&mut self, equal_part: f64, zone_factor: f64, turn: f64) {
         self.own = (equal_part * (0.5 + 0.5 * zone_factor) + turn).floor().max(1.0);
     }
 
-    /// Attempts of this proxy that the backend may hold; low priority finds half of them.
+    /// Attempts of this proxy that may be in flight there; half as many of low priority.
     pub fn own(&self, is_low_priority: bool) -> f64 {
         if is_low_priority {
             (self.own / 2.0).ceil()
@@ -71,7 +71,7 @@
         self.limit = mean + PROXY_DEVIATIONS * mean.sqrt() + 1.0;
     }
 
-    /// Whether another attempt may be sent; low priority finds half of the room.
+    /// Whether another attempt may be sent; of low priority only up to half of the limit.
     pub fn allows(&self, in_flight: usize, is_low_priority: bool) -> bool {
         let limit = if is_low_priority { self.limit / 2.0 } else { self.limit };
         (in_flight as f64) < limit
--- a/src/balancer/dispatching.rs
+++ b/src/balancer/dispatching.rs
@@ -1,7 +1,7 @@
-//! The dispatch of queued requests, in order of priority, as far as backends have room.
+//! The dispatch of queued requests, in order of priority, as far as backends have capacity.
 
 use super::priority::{class_priorities, is_low_priority};
-use super::request::{InFlightAttempt, SentAttempt};
+use super::request::{AttemptId, InFlightAttempt, SentAttempt};
 use super::request_queue::Queued;
 use super::selection::Selection;
 use super::slow_start::SlowStart;
@@ -10,7 +10,7 @@
 use crate::units::{BackendId, RequestId, Time};
 
 impl Balancer {
-    /// Dispatches what is queued, in order of priority, as far as backends have room.
+    /// Dispatches what is queued, in order of priority, as far as backends have capacity.
     pub(super) fn dispatch_queued(&mut self, now: Time) {
         if self.queue.is_idle() {
             return;
@@ -99,11 +99,10 @@
             sent_at: now,
             is_late: false,
         };
-        // Past that time nothing more can be sent; where the window is over already no retry follows this
-        // attempt.
+        // An attempt that goes out after the window has no retry to fear, and no time to be written by.
         let write_by = retry::idempotency_deadline(&self.config, request).filter(|end| *end > now);
         self.wakeup.by(now + self.prompt_limit_of(&attempt));
-        self.attempts.insert((id, number), attempt);
+        self.attempts.insert(AttemptId { request: id, number }, attempt);
         self.actions.push(Action::Dispatch { request: id, backend: backend_id, write_by });
     }
 }
--- a/src/balancer/fleet.rs
+++ b/src/balancer/fleet.rs
@@ -20,7 +20,7 @@
 pub(super) struct TrackedBackend {
     /// Its entry in the endpoint list.
     pub record: Backend,
-    /// From 0 (send nothing) to 1 (healthy, warm, uncrowded).
+    /// From 0 (send nothing) to 1 (healthy, warm, not overloaded).
     pub readiness: f64,
     /// Attempts of this proxy that have not ended.
     pub in_flight: u32,
--- a/src/balancer/halb.rs
+++ b/src/balancer/halb.rs
@@ -16,6 +16,15 @@
 
 /// The part of the traffic for each kind, at that many arrivals a second over all proxies. Without a rate the
 /// split follows the number of backends. All zero when no backend can be used.
+///
+/// ```
+/// use load_balancer::{halb_shares, KindCapacity};
+///
+/// let fast = KindCapacity { backends: 1.0, speed: 4.0 };
+/// let slow = KindCapacity { backends: 1.0, speed: 1.0 };
+/// assert_eq!(halb_shares(&[fast, slow], Some(1.0)), [1.0, 0.0], "at light load the fast kind takes all");
+/// assert_eq!(halb_shares(&[fast, slow], Some(8.0)), [0.75, 0.25], "past capacity both are used");
+/// ```
 pub fn halb_shares(kinds: &[KindCapacity], arrival_rate: Option<f64>) -> Vec<f64> {
     let Some(rate) = arrival_rate else { return shares_by_count(kinds, |_| true) };
     let mut remaining = kinds.to_vec();
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -55,7 +55,7 @@
 use crate::estimators::{Rate, RATE_MEMORY};
 use crate::event::Event;
 use crate::random::Random;
-use crate::units::{AttemptNumber, Micros, RequestId, Time};
+use crate::units::{Micros, RequestId, Time};
 use admission::Admission;
 use classes::ClassTable;
 use concurrency_limit::ProxyLimit;
@@ -63,7 +63,7 @@
 use operator_log::OperatorLog;
 use outlier_detection::OutlierDetection;
 use quota::Quotas;
-use request::{InFlightAttempt, Request};
+use request::{AttemptId, InFlightAttempt, Request};
 use request_queue::RequestQueue;
 use retry::RetryBudget;
 use std::collections::BTreeMap;
@@ -86,10 +86,10 @@
     requests: BTreeMap<RequestId, Request>,
     queue: RequestQueue,
     /// Attempts in flight, with or without their request.
-    attempts: BTreeMap<(RequestId, AttemptNumber), InFlightAttempt>,
+    attempts: BTreeMap<AttemptId, InFlightAttempt>,
     /// Admitted requests.
     arrival_rate: Rate,
-    /// The traffic shares are updated this often: no answer is told late by less.
+    /// The traffic shares are updated this often: the shortest latency objective.
     update_interval: Micros,
     updated_at: Time,
     wakeup: Wakeup,
@@ -125,7 +125,8 @@
         })
     }
 
-    /// When a client that is rejected now may find room: until then the rate that left it none still counts.
+    /// When a client that is rejected now may be admitted: until then the rate that overloaded the backends
+    /// still counts.
     pub fn retry_after(&self) -> Micros {
         RATE_MEMORY
     }
@@ -151,7 +152,7 @@
     }
 
     fn apply(&mut self, now: Time, event: Event) {
-        if makes_room(&event) {
+        if frees_capacity(&event) {
             self.queue.unblock();
         }
         match event {
@@ -204,8 +205,8 @@
     }
 }
 
-/// Whether an event may let a queued request find room that found none before.
-fn makes_room(event: &Event) -> bool {
+/// Whether an event may free capacity for a queued request that found none before.
+fn frees_capacity(event: &Event) -> bool {
     !matches!(event, Event::RequestArrived(_) | Event::TimerFired { .. })
 }
 
--- a/src/balancer/outlier_detection.rs
+++ b/src/balancer/outlier_detection.rs
@@ -166,7 +166,7 @@
 }
 
 /// The error rate that tells an outlier. Where all backends fail, for a faulty network or a request that none
-/// can answer, ejecting those that failed last only crowds the rest.
+/// can answer, ejecting those that failed last only overloads the rest.
 fn ejection_error_rate(fleet: &Fleet, id: BackendId) -> f64 {
     let is_compared = |backend: &TrackedBackend| {
         let health = &backend.health;
--- a/src/balancer/priority.rs
+++ b/src/balancer/priority.rs
@@ -4,7 +4,7 @@
 use super::classes::{ClassTable, TrackedClass};
 use crate::config::Config;
 
-/// First tries past quota and client retries below this part of a full request's value have low priority:
+/// First attempts past quota and client retries below this part of a full request's value have low priority:
 /// they find half of the capacity, the rest is kept for others.
 pub(super) const LOW_PRIORITY_BELOW: f64 = 0.5;
 /// Classes whose on-time part is this close to the lowest count as served worst too.
--- a/src/balancer/request.rs
+++ b/src/balancer/request.rs
@@ -2,7 +2,7 @@
 
 use crate::backend::Backend;
 use crate::config::Class;
-use crate::units::{AttemptNumber, BackendId, Micros, Time};
+use crate::units::{AttemptNumber, BackendId, Micros, RequestId, Time};
 
 /// An attempt as its request remembers it, also after its end.
 pub(super) struct SentAttempt {
@@ -26,7 +26,7 @@
     /// When its latency objective is over.
     pub objective: Time,
     pub deadline: Time,
-    /// Its worth beside that of a first try within quota, from 0 to 1.
+    /// Its worth beside that of a first attempt within quota, from 0 to 1.
     pub relative_value: f64,
     /// Its answer has begun to stream to the client.
     pub is_streaming: bool,
@@ -66,6 +66,13 @@
     }
 }
 
+/// Names an attempt.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct AttemptId {
+    pub request: RequestId,
+    pub number: AttemptNumber,
+}
+
 /// An attempt in flight, which may outlast its request.
 pub(super) struct InFlightAttempt {
     pub backend: BackendId,
--- a/src/balancer/request_arrival.rs
+++ b/src/balancer/request_arrival.rs
@@ -19,7 +19,7 @@
         let admitted = self.admission.admits(&self.config, &self.classes, class, value, &mut self.random);
         // What is shed reaches no backend: shares are computed for the rate of what is admitted.
         self.arrival_rate.add(now, f64::from(admitted));
-        if !admitted || !self.has_place_for_another() {
+        if !admitted || !self.has_capacity() {
             return self.give_up(arrival.request);
         }
         self.queue.push(arrival.request);
@@ -56,9 +56,10 @@
         })
     }
 
-    /// Where warming backends are held below their shares, that part of the traffic has no place.
-    fn has_place_for_another(&mut self) -> bool {
-        let placed: f64 = self.fleet.kinds.values().map(|kind| kind.picks.total()).sum();
-        placed <= 0.0 || self.random.unit() <= placed
+    /// Where warming backends are limited to less than their shares, the rest of that traffic has no
+    /// capacity.
+    fn has_capacity(&mut self) -> bool {
+        let allocated: f64 = self.fleet.kinds.values().map(|kind| kind.picks.total()).sum();
+        allocated <= 0.0 || self.random.unit() <= allocated
     }
 }
--- a/src/balancer/request_completion.rs
+++ b/src/balancer/request_completion.rs
@@ -29,8 +29,8 @@
     }
 
     /// Hedges a request whose backend is lost; where no two attempts may be in flight, the first is cancelled
-    /// to make way for a retry. Age alone is no reason for either: copies of heavy requests would crowd every
-    /// backend.
+    /// to make way for a retry. Age alone is no reason for either: copies of heavy requests would overload
+    /// every backend.
     fn replace_lost_attempt(&mut self, now: Time, id: RequestId) {
         let Some(request) = self.requests.get(&id) else { return };
         if self.config.hedging_allowed {
--- a/src/balancer/request_queue.rs
+++ b/src/balancer/request_queue.rs
@@ -4,7 +4,7 @@
 use super::request::Request;
 use crate::units::{RequestId, Time};
 
-/// A retry precedes every first try for the room that is left.
+/// A retry precedes every first attempt for the capacity that is left.
 const RETRY_VALUE: f64 = f64::MAX;
 
 /// A request in the order of dispatch.
@@ -12,16 +12,16 @@
     pub request: RequestId,
     priority: f64,
     arrived_at: Time,
-    /// Against which the blocked value is held.
+    /// Compared with the value up to which the queue is blocked.
     value: f64,
 }
 
-/// Requests that wait, and what is known of the room for them.
+/// Requests that wait, and what is known of the capacity for them.
 #[derive(Default)]
 pub(super) struct RequestQueue {
     waiting: Vec<RequestId>,
-    /// First tries of less value found no room since the last event that could make some. Trying each again
-    /// would cost much processor time in a long queue.
+    /// First attempts of less value found no capacity since the last event that could free some. Trying each
+    /// again would cost much processor time in a long queue.
     blocked_below: f64,
 }
 
@@ -45,23 +45,23 @@
         self.waiting.retain(|waiting| *waiting != request);
     }
 
-    /// There may be room again.
+    /// There may be capacity again.
     pub fn unblock(&mut self) {
         self.blocked_below = 0.0;
     }
 
-    /// Nothing can be dispatched before the next event that makes room.
+    /// Nothing can be dispatched before the next event that frees capacity.
     pub fn is_idle(&self) -> bool {
         self.waiting.is_empty() || self.blocked_below == f64::MAX
     }
 
-    /// A first try of that value found no room.
+    /// A first attempt of that priority found no capacity.
     pub fn block(&mut self, is_low_priority: bool) {
         let below = if is_low_priority { LOW_PRIORITY_BELOW } else { f64::MAX };
         self.blocked_below = self.blocked_below.max(below);
     }
 
-    /// Whether a request is known to find no room.
+    /// Whether a request is known to find no capacity.
     pub fn is_blocked(&self, queued: &Queued) -> bool {
         queued.value < self.blocked_below
     }
--- a/src/balancer/selection.rs
+++ b/src/balancer/selection.rs
@@ -1,9 +1,10 @@
-//! Selection of a backend for one attempt: a kind by its share, then a backend of it, both at random. What is
-//! full, unresponsive or not allowed is drawn again, for a crowded backend slows for long.
+//! Selection: which backend does one attempt go to? A kind is drawn by its share, then a backend of it; one
+//! that is full, unresponsive or not allowed is drawn again rather than overfilled, which would slow it for
+//! long.
 
 use super::classes::ClassTable;
 use super::concurrency_limit::ProxyLimit;
-use super::fleet::{Fleet, TrackedBackend};
+use super::fleet::{Fleet, TrackedBackend, TrackedKind};
 use super::priority::is_low_priority;
 use super::request::Request;
 use super::retry;
@@ -25,16 +26,17 @@
 }
 
 impl Selection<'_> {
-    /// A backend for the next attempt of the request; `None` where none has room.
+    /// A backend for the next attempt of the request; `None` where none has capacity.
     pub fn pick(&self, request: &Request, random: &mut Random) -> Option<BackendId> {
         if !self.proxy_limit.allows(self.in_flight, is_low_priority(request.relative_value)) {
             return None;
         }
         if request.is_unsent() {
-            let kinds = self.kinds();
+            let kinds = self.kinds_by_share();
             for _ in 0..DRAWS {
-                let drawn = self.draw(&kinds, random)?;
-                if let Some(backend) = drawn.filter(|backend| self.is_open(*backend, request)) {
+                let kind = random.pick(&kinds)?;
+                let drawn = self.draw_from(kind, random);
+                if let Some(backend) = drawn.filter(|backend| self.can_take(*backend, request)) {
                     return Some(backend);
                 }
             }
@@ -42,31 +44,27 @@
         self.pick_among_all(request, random)
     }
 
-    fn kinds(&self) -> Vec<Weighted<KindId>> {
-        let weighted = |(kind, tracked): (&KindId, &super::fleet::TrackedKind)| Weighted {
-            item: *kind,
-            weight: tracked.picks.total(),
-        };
-        self.fleet.kinds.iter().map(weighted).collect()
+    fn kinds_by_share(&self) -> Vec<Weighted<KindId>> {
+        let by_share =
+            |(id, kind): (&KindId, &TrackedKind)| Weighted { item: *id, weight: kind.picks.total() };
+        self.fleet.kinds.iter().map(by_share).collect()
     }
 
-    /// A backend by traffic share; `None` where there is no kind to draw from, `Some(None)` where the kind is
-    /// empty.
-    fn draw(&self, kinds: &[Weighted<KindId>], random: &mut Random) -> Option<Option<BackendId>> {
-        let kind = random.pick(kinds)?;
+    /// A backend of the kind by traffic share; `None` where none can be used.
+    fn draw_from(&self, kind: KindId, random: &mut Random) -> Option<BackendId> {
         let point = random.unit();
-        Some(self.fleet.kinds.get(&kind).and_then(|kind| kind.picks.pick(point)))
+        self.fleet.kinds.get(&kind)?.picks.pick(point)
     }
 
     fn pick_among_all(&self, request: &Request, random: &mut Random) -> Option<BackendId> {
-        let open = self.fleet.backends.iter().filter(|(id, _)| self.is_open(**id, request));
-        let weighted: Vec<Weighted<BackendId>> =
-            open.map(|(id, backend)| Weighted { item: *id, weight: backend.traffic_share }).collect();
-        random.pick(&weighted)
+        let candidates = self.fleet.backends.iter().filter(|(id, _)| self.can_take(**id, request));
+        let by_share: Vec<Weighted<BackendId>> =
+            candidates.map(|(id, backend)| Weighted { item: *id, weight: backend.traffic_share }).collect();
+        random.pick(&by_share)
     }
 
-    /// Whether the backend may be sent the request and has room for it.
-    fn is_open(&self, id: BackendId, request: &Request) -> bool {
+    /// Whether the backend may be sent the request and has capacity for it.
+    fn can_take(&self, id: BackendId, request: &Request) -> bool {
         let Some(backend) = self.fleet.backends.get(&id) else { return false };
         if backend.readiness <= 0.0 || backend.health.is_unresponsive() {
             return false;
--- a/src/balancer/share_update.rs
+++ b/src/balancer/share_update.rs
@@ -36,7 +36,7 @@
         );
     }
 
-    /// Lowers the readiness of warming and crowded backends, and sums it up by kind.
+    /// Lowers the readiness of warming and overloaded backends, and sums it up by kind.
     fn sum_readiness(&mut self, now: Time) {
         for kind in self.fleet.kinds.values_mut() {
             kind.readiness = 0.0;
@@ -48,7 +48,7 @@
             kind.idle_weight = kind.idle_weight.max(backend.record.weight);
             backend.readiness = backend.readiness
                 * warm_fraction(&self.config, now, &backend.record, LIKELY_DURATION_FRACTION)
-                * uncrowded_fraction(&self.config, &backend.record, kind.idle_weight);
+                * reported_load_factor(&self.config, &backend.record, kind.idle_weight);
             kind.readiness += backend.readiness;
         }
     }
@@ -65,13 +65,13 @@
     }
 }
 
-/// Where list weights are live, the part of its even share that a crowded backend keeps: all of it up to half
-/// of the usual concurrency, then little, so that slow ones drain. Lighter ones gain nothing, for all proxies
-/// see the same late weights and would chase the lightest together.
-fn uncrowded_fraction(config: &Config, record: &Backend, idle_weight: f64) -> f64 {
+/// Where list weights report load, the part of its equal share that a loaded backend keeps: all of it up to
+/// half of the usual concurrency, then little, so that slow ones empty. A lightly loaded one gains nothing:
+/// all proxies see the same late reports and would send to the lightest together.
+fn reported_load_factor(config: &Config, record: &Backend, idle_weight: f64) -> f64 {
     if !config.live_weights {
         return 1.0;
     }
-    let load = record.weight / idle_weight.max(LEAST_WEIGHT);
-    (load * (1.0 + IN_FLIGHT_PER_BACKEND / 2.0)).clamp(0.0, 1.0).powi(2)
+    let spare = record.weight / idle_weight.max(LEAST_WEIGHT);
+    (spare * (1.0 + IN_FLIGHT_PER_BACKEND / 2.0)).clamp(0.0, 1.0).powi(2)
 }
--- a/src/balancer/slow_start.rs
+++ b/src/balancer/slow_start.rs
@@ -94,7 +94,7 @@
         root * root / (fleet_rate * self.config.overload_window.secs()).max(1e-9)
     }
 
-    /// Whether this proxy's part of the limit has room for a request of that much work.
+    /// Whether this proxy's part of the limit allows a request of that much work.
     pub fn admits(&self, backend: &TrackedBackend, work: f64) -> bool {
         let limit = self.window_limit(backend);
         if limit == f64::INFINITY {
--- a/src/balancer/traffic_allocation.rs
+++ b/src/balancer/traffic_allocation.rs
@@ -1,5 +1,5 @@
 //! Traffic allocation: from the readiness of backends and the HALB share of their kinds to the part of this
-//! proxy's traffic that each backend receives, and the attempts that it may hold.
+//! proxy's traffic that each backend receives, and the attempts that may be in flight there.
 
 use super::concurrency_limit::ProxyLimit;
 use super::fleet::{Fleet, TrackedBackend, TrackedKind};
--- a/src/config.rs
+++ b/src/config.rs
@@ -2,7 +2,7 @@
 
 use crate::units::{ClassId, Micros, TenantId, ZoneId};
 
-/// Everything that a balancer is told at its start; [`Event::ConfigReplaced`](crate::Event::ConfigReplaced)
+/// The configuration of a balancer; [`Event::ConfigReplaced`](crate::Event::ConfigReplaced)
 /// replaces it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Config {
--- a/src/estimators/rate.rs
+++ b/src/estimators/rate.rs
@@ -4,7 +4,7 @@
 
 /// Time constant of a [`Rate`].
 pub(crate) const RATE_MEMORY: Micros = Micros(2_000_000);
-/// Part of [`RATE_MEMORY`] that has to pass before a rate is told.
+/// Part of [`RATE_MEMORY`] that has to be observed before there is a rate.
 const LEAST_OBSERVED_FRACTION: f64 = 1.0 / 20.0;
 
 /// Events a second, exponentially weighted over [`RATE_MEMORY`] and unbiased from the start on.
