--- a/src/balancer/concurrency_limit.rs
+++ b/src/balancer/concurrency_limit.rs
@@ -1,6 +1,7 @@
 //! Concurrency limits: how many attempts may be in flight at a backend, and how many from one proxy? No proxy
 //! sees what the others have in flight, so that each takes its part of a limit that holds for all.
 
+use super::priority::LOW_PRIORITY_CAPACITY_FRACTION;
 use crate::units::Micros;
 
 /// Requests that all proxies together keep at one backend: a shared processor at four fifths of its capacity
@@ -11,6 +12,8 @@
 /// Growth of a backend's least round trip with each answer: a way that has become longer shows after some
 /// hundred.
 const ROUND_TRIP_GROWTH: f64 = 1.002;
+/// Part of a proxy's limit at a backend that goes by zone preference; the rest is equal for all proxies.
+const ZONE_PREFERENCE_FRACTION: f64 = 0.5;
 /// Guards a division by the expected work.
 const LEAST_WORK_SECS: f64 = 1e-6;
 
@@ -42,16 +45,17 @@
         (IN_FLIGHT_PER_BACKEND / 2.0 + on_the_way).max(IN_FLIGHT_PER_BACKEND) * readiness
     }
 
-    /// Sets this proxy's part: half of an equal part goes by zone preference. With many proxies a part is
-    /// below one: turns keep the sum at the limit, where one each would overload every backend.
+    /// Sets this proxy's part of the fleet's limit. With many proxies a part is below one: turns, from 0 to 1,
+    /// keep the sum at the limit, where one attempt each would overload every backend.
     pub fn set_own(&mut self, equal_part: f64, zone_factor: f64, turn: f64) {
-        self.own = (equal_part * (0.5 + 0.5 * zone_factor) + turn).floor().max(1.0);
+        let by_zone = 1.0 - ZONE_PREFERENCE_FRACTION + ZONE_PREFERENCE_FRACTION * zone_factor;
+        self.own = (equal_part * by_zone + turn).floor().max(1.0);
     }
 
-    /// Attempts of this proxy that may be in flight there; half as many of low priority.
+    /// Attempts of this proxy that may be in flight there.
     pub fn own(&self, is_low_priority: bool) -> f64 {
         if is_low_priority {
-            (self.own / 2.0).ceil()
+            (self.own * LOW_PRIORITY_CAPACITY_FRACTION).ceil()
         } else {
             self.own
         }
@@ -71,9 +75,9 @@
         self.limit = mean + PROXY_DEVIATIONS * mean.sqrt() + 1.0;
     }
 
-    /// Whether another attempt may be sent; of low priority only up to half of the limit.
+    /// Whether another attempt may be sent.
     pub fn allows(&self, in_flight: usize, is_low_priority: bool) -> bool {
-        let limit = if is_low_priority { self.limit / 2.0 } else { self.limit };
+        let limit = if is_low_priority { self.limit * LOW_PRIORITY_CAPACITY_FRACTION } else { self.limit };
         (in_flight as f64) < limit
     }
 }
--- a/src/balancer/priority.rs
+++ b/src/balancer/priority.rs
@@ -5,8 +5,10 @@
 use crate::config::Config;
 
 /// First attempts past quota and client retries below this part of a full request's value have low priority:
-/// they find half of the capacity, the rest is kept for others.
+/// they find only a part of the capacity, the rest is kept for others.
 pub(super) const LOW_PRIORITY_BELOW: f64 = 0.5;
+/// Part of every concurrency limit that requests of low priority may use.
+pub(super) const LOW_PRIORITY_CAPACITY_FRACTION: f64 = 0.5;
 /// Classes whose on-time part is this close to the lowest count as served worst too.
 const WORST_CLASS_TOLERANCE: f64 = 0.02;
 /// Least arrival share that a class is taken to have.
--- a/src/balancer/request_completion.rs
+++ b/src/balancer/request_completion.rs
@@ -23,9 +23,13 @@
             }
         }
         if self.retry_budget.allows_retry() {
-            lost.into_iter().for_each(|id| self.replace_lost_attempt(now, id));
+            for id in lost {
+                self.replace_lost_attempt(now, id);
+            }
+        }
+        for id in given_up {
+            self.give_up(id);
         }
-        given_up.into_iter().for_each(|id| self.give_up(id));
     }
 
     /// Hedges a request whose backend is lost; where no two attempts may be in flight, the first is cancelled
