--- a/src/balancer/concurrency_limit.rs
+++ b/src/balancer/concurrency_limit.rs
@@ -45,8 +45,8 @@
         (IN_FLIGHT_PER_BACKEND / 2.0 + on_the_way).max(IN_FLIGHT_PER_BACKEND) * readiness
     }
 
-    /// Sets this proxy's part of the fleet's limit. With many proxies a part is below one: turns, from 0 to 1,
-    /// keep the sum at the limit, where one attempt each would overload every backend.
+    /// Sets this proxy's part of the fleet's limit. With many proxies a part is below one: turns, from 0 to
+    /// 1, keep the sum at the limit, where one attempt each would overload every backend.
     pub fn set_own(&mut self, equal_part: f64, zone_factor: f64, turn: f64) {
         let by_zone = 1.0 - ZONE_PREFERENCE_FRACTION + ZONE_PREFERENCE_FRACTION * zone_factor;
         self.own = (equal_part * by_zone + turn).floor().max(1.0);
