--- a/src/bin/load-balancer-proxy/dispatcher.rs
+++ b/src/bin/load-balancer-proxy/dispatcher.rs
@@ -4,7 +4,7 @@
 use crate::clock::Clock;
 use crate::config::Settings;
 use crate::messages::{DispatcherMessage, FinalAnswer, ReceivedRequest, ServingStatus, SettingsReplacement};
-use crate::upstream::{ConnectionPool, Upstream, UpstreamRequest, UpstreamResult};
+use crate::upstream::{AttemptLimits, ConnectionPool, Upstream, UpstreamRequest, UpstreamResult};
 use load_balancer::discovery::Target;
 use load_balancer::*;
 use std::cmp::Reverse;
@@ -34,7 +34,7 @@
 impl Open {
     /// Takes the way to the client, of whom nothing is owed any more.
     fn settle(&mut self) -> Option<oneshot::Sender<FinalAnswer>> {
-        self.call.end();
+        self.call.mark_answered();
         self.reply.take()
     }
 
@@ -192,7 +192,7 @@
                 sweep = now + SWEEP;
                 for upstream in self.backends.values() {
                     let (upstream, pool) = (upstream.clone(), self.pool.clone());
-                    tokio::task::spawn_local(async move { pool.sweep(&upstream).await });
+                    tokio::task::spawn_local(async move { pool.close_stale(&upstream).await });
                 }
             }
         }
@@ -238,7 +238,7 @@
 
     /// The module hears of it in turn, after the requests that came before it.
     fn configured(&mut self, new: SettingsReplacement) {
-        self.pool.set_times(new.settings.dial_timeout, new.settings.conn_idle);
+        self.pool.set_timeouts(new.settings.dial_timeout, new.settings.conn_idle);
         let old = std::mem::replace(&mut self.settings, new.settings);
         let _ = new.retired.send(old);
         self.events.push(Event::ConfigReplaced(new.update));
@@ -272,7 +272,7 @@
         // One outcome an attempt: what it sends after it was called off does not count.
         let Some(Attempt { sent, task }) = r.attempts.remove(&attempt) else { return };
         task.abort();
-        if let Some(answer) = ended.answer {
+        if let Some(answer) = ended.response {
             if let Some(reply) = r.settle() {
                 let _ = reply.send(FinalAnswer::Served(answer));
             }
@@ -326,22 +326,22 @@
                 Some(upstream) if same(&upstream) => upstream,
                 // A restarted process shares no connection with the one before it.
                 Some(upstream) => {
-                    upstream.shut();
+                    upstream.drain();
                     Rc::new(Upstream::new(target.clone()))
                 }
                 None => Rc::new(Upstream::new(target.clone())),
             };
             if ready {
-                upstream.open.set(true);
+                upstream.mark_ready();
             } else {
-                upstream.shut();
+                upstream.drain();
             }
             if target.backend.state != BackendState::Removed {
                 self.backends.insert(id, upstream);
             }
         }
-        old.values().for_each(|upstream| upstream.shut());
-        self.status.serving.set(self.backends.values().any(|u| u.open.get()));
+        old.values().for_each(|upstream| upstream.drain());
+        self.status.serving.set(self.backends.values().any(|u| u.is_ready()));
         self.events.push(Event::EndpointListChanged { update, backends: entries });
     }
 
@@ -426,7 +426,7 @@
         self.overdue.clear();
         self.timers.clear();
         self.events.clear();
-        let state = |u: &Rc<Upstream>| match u.open.get() {
+        let state = |u: &Rc<Upstream>| match u.is_ready() {
             true => BackendState::Ready,
             false => BackendState::Draining,
         };
@@ -483,7 +483,7 @@
         let by = by.map_or(deadline, |by| by.min(deadline));
         let mut report = Report { to: inputs, request, attempt, told: false };
         let task = tokio::task::spawn_local(async move {
-            let ended = pool.attempt(&upstream, &call, by, deadline).await;
+            let ended = pool.attempt(&upstream, &call, AttemptLimits { write_by: by, deadline }).await;
             report.tell(ended);
         });
         r.attempts.insert(attempt, Attempt { sent: now, task: task.abort_handle() });
@@ -535,7 +535,7 @@
         let open = dispatcher.requests.get_mut(&id).expect("open");
         open.attempts.insert(AttemptNumber(0), Attempt { sent, task });
         open.count = 1;
-        let ended = UpstreamResult { outcome: Outcome::Success, answer: Some(Response::new(Bytes::new())) };
+        let ended = UpstreamResult { outcome: Outcome::Success, response: Some(Response::new(Bytes::new())) };
         dispatcher.take(DispatcherMessage::AttemptEnded {
             request: id,
             attempt: AttemptNumber(0),
--- a/src/bin/load-balancer-proxy/main.rs
+++ b/src/bin/load-balancer-proxy/main.rs
@@ -13,7 +13,6 @@
 mod server;
 mod stall_detector;
 mod upstream;
-mod upstream_socket;
 
 use clock::Clock;
 use load_balancer::discovery;
--- /dev/null
+++ b/src/bin/load-balancer-proxy/upstream/connection_pool.rs
@@ -0,0 +1,182 @@
+//! The pool of connections to backends: connections are kept for reuse, opened within the socket budget, and
+//! closed once they have been idle for too long.
+
+use super::backend::{IdleConnection, Upstream, REUSE_DELAY};
+use super::connection::Connection;
+use super::socket_budget::{SocketBudget, SocketSlot};
+use crate::clock::{duration, Clock};
+use load_balancer::net::dial::{self, DialError};
+use load_balancer::{Micros, Outcome, Time};
+use std::cell::{Cell, RefCell};
+use std::collections::VecDeque;
+use std::net::SocketAddr;
+use std::rc::{Rc, Weak};
+
+/// Part of the backend's own limit after which an idle connection is closed from this side: a request written
+/// while the backend closes it would end as a reset.
+const IDLE_LIMIT_FRACTION: f64 = 0.75;
+/// An idle connection is closed after this time in any case: many proxies that each keep connections to
+/// backends out of use would fill the backends' tables.
+const MAX_IDLE_TIME: Micros = Micros(5_000_000);
+
+/// Why no connection came up.
+#[derive(Debug, thiserror::Error)]
+pub(super) enum ConnectError {
+    /// No socket was connected.
+    #[error("{0}")]
+    Dial(DialError),
+    /// The connection ended before it could take a request.
+    #[error("{0}")]
+    Handshake(hyper::Error),
+}
+
+impl ConnectError {
+    /// The outcome of the attempt that needed the connection.
+    pub fn outcome(&self) -> Outcome {
+        match self {
+            ConnectError::Dial(DialError::NoMeans) => Outcome::NotSent, // it says nothing against the backend
+            ConnectError::Dial(DialError::Refused(_) | DialError::TimedOut) | ConnectError::Handshake(_) => {
+                Outcome::ConnectFailed
+            }
+        }
+    }
+}
+
+/// A connection that is an attempt's alone.
+pub(super) struct PooledConnection {
+    pub connection: Connection,
+    /// It has carried requests before.
+    pub is_reused: bool,
+}
+
+/// The connections to all backends.
+pub struct ConnectionPool {
+    /// The clock of all that happens at the upstream side.
+    pub clock: Clock,
+    /// A connection that is not up after this time counts as failed.
+    dial_timeout: Cell<Micros>,
+    idle_limit: Cell<Micros>,
+    sockets: SocketBudget,
+    /// The backends that may have idle connections, each once.
+    with_idle: RefCell<VecDeque<Weak<Upstream>>>,
+}
+
+impl ConnectionPool {
+    /// `backend_idle_limit` is when a backend closes an idle connection; `max_sockets` may be held at once,
+    /// idle ones included.
+    pub fn new(
+        clock: Clock, dial_timeout: Micros, backend_idle_limit: Micros, max_sockets: usize,
+    ) -> ConnectionPool {
+        let pool = ConnectionPool {
+            clock,
+            dial_timeout: Cell::default(),
+            idle_limit: Cell::default(),
+            sockets: SocketBudget::new(max_sockets),
+            with_idle: RefCell::default(),
+        };
+        pool.set_timeouts(dial_timeout, backend_idle_limit);
+        pool
+    }
+
+    /// Sets the times for the connections that are opened or found idle from now on.
+    pub fn set_timeouts(&self, dial_timeout: Micros, backend_idle_limit: Micros) {
+        self.dial_timeout.set(dial_timeout);
+        self.idle_limit.set(backend_idle_limit.times(IDLE_LIMIT_FRACTION).min(MAX_IDLE_TIME));
+    }
+
+    /// Closes the connections to a backend that have been idle for too long, or that the backend has closed.
+    pub async fn close_stale(&self, upstream: &Rc<Upstream>) {
+        let mut kept = upstream.take_all_idle();
+        let oldest = self.clock.now().saturating_sub(self.idle_limit.get());
+        kept.retain(|idle| idle.since > oldest);
+        for mut idle in kept {
+            if idle.connection.is_reusable().await && upstream.is_ready() {
+                self.keep_idle(upstream, idle);
+            }
+        }
+    }
+
+    /// A connection to the backend: one that is kept for reuse, else a new one.
+    pub(super) async fn acquire(&self, upstream: &Upstream) -> Result<PooledConnection, ConnectError> {
+        match self.reuse_idle(upstream).await {
+            Some(connection) => Ok(PooledConnection { connection, is_reused: true }),
+            None => {
+                let connection = self.connect(upstream.target.address).await?;
+                Ok(PooledConnection { connection, is_reused: false })
+            }
+        }
+    }
+
+    /// Takes a connection back after its response, where it can carry another request.
+    pub(super) async fn release(&self, upstream: &Rc<Upstream>, mut connection: Connection) {
+        if connection.is_reusable().await && upstream.is_ready() {
+            self.keep_idle(upstream, IdleConnection { since: self.clock.now(), connection });
+        }
+    }
+
+    fn keep_idle(&self, upstream: &Rc<Upstream>, idle: IdleConnection) {
+        upstream.push_idle(idle);
+        if upstream.set_listed_as_idle(true) {
+            return;
+        }
+        let mut with_idle = self.with_idle.borrow_mut();
+        if with_idle.len() > 2 * self.sockets.limit() {
+            with_idle.retain(|upstream| upstream.strong_count() > 0); // backends that were replaced
+        }
+        with_idle.push_back(Rc::downgrade(upstream));
+    }
+
+    /// An idle connection past its [`REUSE_DELAY`] that the backend has not closed. To wait for that takes no
+    /// longer than to open another, whose handshake costs the backend work.
+    async fn reuse_idle(&self, upstream: &Upstream) -> Option<Connection> {
+        loop {
+            let IdleConnection { since, mut connection } = upstream.take_idle(self.clock.now())?;
+            tokio::time::sleep_until(self.clock.instant(since + REUSE_DELAY)).await;
+            if self.has_idle_time_left(since) && connection.is_reusable().await {
+                return Some(connection);
+            }
+        }
+    }
+
+    fn has_idle_time_left(&self, since: Time) -> bool {
+        self.clock.now() - since < self.idle_limit.get()
+    }
+
+    async fn connect(&self, address: SocketAddr) -> Result<Connection, ConnectError> {
+        let timeout = duration(self.dial_timeout.get());
+        let (stream, slot) = match dial::dial(address, timeout, || self.reserve_socket()).await {
+            Ok(dialled) => dialled,
+            Err(error) => {
+                tracing::debug!(%address, %error, "connect failed");
+                return Err(ConnectError::Dial(error));
+            }
+        };
+        Connection::open(stream, slot).await.map_err(ConnectError::Handshake)
+    }
+
+    /// A socket of the budget, if there is one left or an idle connection can be closed for it.
+    fn reserve_socket(&self) -> Option<SocketSlot> {
+        if self.sockets.is_exhausted() && !self.close_any_idle() {
+            return None;
+        }
+        Some(self.sockets.take())
+    }
+
+    /// Closes an idle connection to any backend, each backend in turn; false where there is none.
+    fn close_any_idle(&self) -> bool {
+        let mut with_idle = self.with_idle.borrow_mut();
+        while let Some(listed) = with_idle.pop_front() {
+            let Some(upstream) = listed.upgrade() else { continue };
+            let idle = upstream.close_one_idle();
+            upstream.set_listed_as_idle(idle.has_more);
+            if idle.has_more {
+                with_idle.push_back(listed);
+            }
+            if idle.closed {
+                tracing::debug!(address = %upstream.target.address, "idle connection closed for another");
+                return true;
+            }
+        }
+        false
+    }
+}
