--- /dev/null
+++ b/src/bin/load-balancer-proxy/dispatcher/backend_table.rs
@@ -0,0 +1,86 @@
+//! The backends of the endpoint list, each with its connections.
+
+use crate::upstream::Upstream;
+use load_balancer::discovery::Target;
+use load_balancer::{Backend, BackendId, BackendState, EndpointListUpdate};
+use std::collections::HashMap;
+use std::rc::Rc;
+
+/// The backends that have not been removed.
+#[derive(Default)]
+pub(super) struct BackendTable {
+    upstreams: HashMap<BackendId, Rc<Upstream>>,
+}
+
+impl BackendTable {
+    pub fn get(&self, id: BackendId) -> Option<&Rc<Upstream>> {
+        self.upstreams.get(&id)
+    }
+
+    pub fn iter(&self) -> impl Iterator<Item = &Rc<Upstream>> {
+        self.upstreams.values()
+    }
+
+    /// Whether some backend may be sent requests.
+    pub fn has_ready(&self) -> bool {
+        self.iter().any(|upstream| upstream.is_ready())
+    }
+
+    /// Applies an endpoint list and gives its entries for the balancer.
+    pub fn apply(&mut self, update: EndpointListUpdate, targets: Vec<Target>) -> Vec<Backend> {
+        let is_complete = matches!(update, EndpointListUpdate::Snapshot | EndpointListUpdate::Cached);
+        let mut unnamed = if is_complete { std::mem::take(&mut self.upstreams) } else { HashMap::new() };
+        let mut entries = Vec::with_capacity(targets.len());
+        for target in targets {
+            let id = target.backend.id;
+            let known = unnamed.remove(&id).or_else(|| self.upstreams.remove(&id));
+            entries.push(target.backend.clone());
+            self.apply_entry(known, target);
+        }
+        for upstream in unnamed.values() {
+            upstream.drain();
+        }
+        entries
+    }
+
+    /// The table as a list of entries, without the backends that were removed.
+    pub fn entries(&self) -> Vec<Backend> {
+        self.iter().map(|upstream| current_entry(upstream)).collect()
+    }
+
+    fn apply_entry(&mut self, known: Option<Rc<Upstream>>, target: Target) {
+        let id = target.backend.id;
+        let state = target.backend.state;
+        let upstream = upstream_for(known, target);
+        if state == BackendState::Ready {
+            upstream.mark_ready();
+        } else {
+            upstream.drain();
+        }
+        if state != BackendState::Removed {
+            self.upstreams.insert(id, upstream);
+        }
+    }
+}
+
+/// The known upstream, unless the entry names another process: a restarted process shares no connection with
+/// the one before it.
+fn upstream_for(known: Option<Rc<Upstream>>, target: Target) -> Rc<Upstream> {
+    match known {
+        Some(upstream) if is_same_process(&upstream.target, &target) => upstream,
+        Some(upstream) => {
+            upstream.drain();
+            Rc::new(Upstream::new(target))
+        }
+        None => Rc::new(Upstream::new(target)),
+    }
+}
+
+fn is_same_process(known: &Target, target: &Target) -> bool {
+    known.address == target.address && known.backend.started_at == target.backend.started_at
+}
+
+fn current_entry(upstream: &Upstream) -> Backend {
+    let state = if upstream.is_ready() { BackendState::Ready } else { BackendState::Draining };
+    Backend { state, ..upstream.target.backend.clone() }
+}
--- /dev/null
+++ b/src/bin/load-balancer-proxy/dispatcher/log.rs
@@ -0,0 +1,41 @@
+//! Log lines for operators.
+
+use crate::upstream::{Upstream, UpstreamRequest};
+use load_balancer::{AttemptNumber, AttemptResult, LogEvent, RequestId};
+
+/// An attempt is under way.
+pub(super) fn attempt_dispatched(
+    request: &UpstreamRequest, id: RequestId, attempt: AttemptNumber, upstream: &Upstream,
+) {
+    tracing::debug!(
+        attempt = attempt.0,
+        request = id.0,
+        correlation_id = %request.correlation(),
+        backend = upstream.target.backend.id.0,
+        address = %upstream.target.address,
+        "attempt dispatched"
+    );
+}
+
+/// An attempt ended.
+pub(super) fn attempt_ended(request: &UpstreamRequest, result: &AttemptResult) {
+    tracing::debug!(
+        attempt = result.attempt.0,
+        request = result.request.0,
+        correlation_id = %request.correlation(),
+        outcome = ?result.outcome,
+        latency_us = result.latency.0,
+        "attempt ended"
+    );
+}
+
+/// An event that the balancer reports.
+pub(super) fn balancer_event(event: &LogEvent) {
+    match event {
+        LogEvent::SubscriptionLost => tracing::info!("subscription lost, resubscribing"),
+        LogEvent::BackendEjected { backend, outcome } => {
+            tracing::info!(backend = backend.0, ?outcome, "backend ejected");
+        }
+        LogEvent::ConfigRejected(error) => tracing::info!(%error, "configuration rejected"),
+    }
+}
--- /dev/null
+++ b/src/bin/load-balancer-proxy/dispatcher/message_handling.rs
@@ -0,0 +1,99 @@
+//! What messages bring about at once. The balancer hears of them in its next tick; a good answer does not wait
+//! for that.
+
+use super::deadlines::Deadline;
+use super::request_table::OpenRequest;
+use super::Dispatcher;
+use crate::messages::{DispatcherMessage, FinalAnswer, ReceivedRequest, SettingsReplacement};
+use crate::upstream::UpstreamResult;
+use load_balancer::discovery::Target;
+use load_balancer::{AttemptNumber, EndpointListUpdate, Event, RequestArrival, RequestId, Time};
+use std::collections::HashMap;
+
+impl Dispatcher {
+    pub(super) fn handle_message(&mut self, message: DispatcherMessage) {
+        match message {
+            DispatcherMessage::RequestReceived(received) => self.request_received(received),
+            DispatcherMessage::ClientDisconnected(request) => self.client_disconnected(request),
+            DispatcherMessage::AttemptEnded { request, attempt, result } => {
+                self.end_attempt(self.clock.now(), request, attempt, result);
+            }
+            DispatcherMessage::EndpointList { update, targets } => {
+                self.endpoint_list_arrived(update, targets);
+            }
+            DispatcherMessage::SettingsReplaced(replacement) => self.settings_replaced(replacement),
+            DispatcherMessage::ShutdownStarted { deadline } => self.shutdown_started(deadline),
+        }
+    }
+
+    fn request_received(&mut self, received: ReceivedRequest) {
+        if self.requests.len() >= self.settings.open_cap {
+            // It reaches neither the balancer nor a backend.
+            let retry_after = self.balancer.retry_after();
+            let _ = received.answer.send(FinalAnswer::Rejected { retry_after });
+            return;
+        }
+        let deadline = self.deadlines.limit(received.deadline);
+        self.events.push(Event::RequestArrived(RequestArrival {
+            request: received.id,
+            class: received.class,
+            tenant: received.tenant,
+            time_left: deadline - self.clock.now(),
+            expected_work: received.expected_work,
+            is_client_retry: received.is_client_retry,
+        }));
+        self.deadlines.insert(Deadline { at: deadline, request: received.id });
+        self.requests.insert(OpenRequest {
+            id: received.id,
+            deadline,
+            upstream_request: received.upstream_request,
+            reply: Some(received.answer),
+            attempts: HashMap::new(),
+            dispatched: 0,
+        });
+    }
+
+    fn client_disconnected(&mut self, id: RequestId) {
+        let Some(request) = self.requests.get_mut(id) else { return };
+        if request.take_reply().is_some() {
+            self.events.push(Event::ClientDisconnected { request: id });
+            self.requests.mark_if_finished(id);
+        }
+    }
+
+    /// Ends an attempt in flight, and answers its client if it was served. What comes of an attempt after its
+    /// end is ignored: each has one outcome.
+    pub(super) fn end_attempt(
+        &mut self, now: Time, id: RequestId, number: AttemptNumber, result: UpstreamResult,
+    ) {
+        let Some(request) = self.requests.get_mut(id) else { return };
+        let Some(attempt) = request.attempts.remove(&number) else { return };
+        attempt.task.abort();
+        if let Some(response) = result.response {
+            request.answer(FinalAnswer::Served(response));
+        }
+        let ended = request.attempt_ended(number, result.outcome, now - attempt.sent_at);
+        self.events.push(ended);
+        self.requests.mark_if_finished(id);
+    }
+
+    fn endpoint_list_arrived(&mut self, update: EndpointListUpdate, targets: Vec<Target>) {
+        let backends = self.backends.apply(update, targets);
+        self.status.serving.set(self.backends.has_ready());
+        self.events.push(Event::EndpointListChanged { update, backends });
+    }
+
+    /// The balancer hears of it after the requests that came before it.
+    fn settings_replaced(&mut self, replacement: SettingsReplacement) {
+        let SettingsReplacement { settings, update, retired } = replacement;
+        self.pool.set_timeouts(settings.dial_timeout, settings.conn_idle);
+        let replaced = std::mem::replace(&mut self.settings, settings);
+        let _ = retired.send(replaced);
+        self.events.push(Event::ConfigReplaced(update));
+    }
+
+    fn shutdown_started(&mut self, deadline: Time) {
+        self.shorten_deadlines(deadline);
+        self.events.push(Event::ShutdownStarted { deadline });
+    }
+}
--- /dev/null
+++ b/src/bin/load-balancer-proxy/dispatcher/recovery.rs
@@ -0,0 +1,33 @@
+//! Recovery from a panic of the balancer: it is replaced by a new one.
+
+use super::Dispatcher;
+use crate::messages::FinalAnswer;
+use load_balancer::{Balancer, EndpointListUpdate, Event};
+
+impl Dispatcher {
+    /// Replaces the balancer, whose state cannot be trusted after a panic. The new one starts from the endpoint
+    /// list, and the requests in hand are failed. The panic itself was reported by the panic hook.
+    pub(super) fn restart_balancer(&mut self) {
+        tracing::error!(failed_requests = self.requests.len(), "balancer panicked, starting anew");
+        self.seed = self.seed.wrapping_add(1); // the same seed could lead to the same panic
+        match Balancer::new(self.settings.module.clone(), self.seed) {
+            Ok(balancer) => self.balancer = balancer,
+            Err(error) => tracing::error!(%error, "configuration rejected"),
+        }
+        self.fail_all_requests();
+        self.timers.clear();
+        self.events.clear();
+        let backends = self.backends.entries();
+        self.events.push(Event::EndpointListChanged { update: EndpointListUpdate::Cached, backends });
+    }
+
+    fn fail_all_requests(&mut self) {
+        for mut request in self.requests.drain() {
+            for attempt in request.attempts.values() {
+                attempt.task.abort();
+            }
+            request.answer(FinalAnswer::Failed);
+        }
+        self.deadlines.clear();
+    }
+}
