--- a/src/bin/load-balancer-proxy/messages.rs
+++ b/src/bin/load-balancer-proxy/messages.rs
@@ -1,4 +1,5 @@
-//! Messages between the client side of the proxy, discovery, and the dispatcher, which owns requests and attempts.
+//! Messages between the client side of the proxy, discovery, and the dispatcher, which owns requests and
+//! attempts.
 
 use crate::config::Settings;
 use crate::upstream::{UpstreamRequest, UpstreamResult};
@@ -28,10 +29,13 @@
 
 /// A request that a client has sent whole.
 pub struct ReceivedRequest {
+    /// Its id; never used again.
     pub id: RequestId,
+    /// Its class under the settings in force.
     pub class: ClassId,
+    /// Its tenant under the settings in force, if any.
     pub tenant: Option<TenantId>,
-    /// When it must have been answered.
+    /// When it must have been answered at the latest.
     pub deadline: Time,
     /// Work that the client expects, on a standard core.
     pub expected_work: Option<Micros>,
@@ -43,13 +47,13 @@
     pub answer: oneshot::Sender<FinalAnswer>,
 }
 
-/// What the dispatcher is told of.
+/// What the dispatcher acts on.
 pub enum DispatcherMessage {
     /// A client has sent a request.
     RequestReceived(ReceivedRequest),
-    /// The client has closed its connection.
+    /// The client of a request has closed its connection.
     ClientDisconnected(RequestId),
-    /// An attempt ended by itself.
+    /// The task of an attempt ended.
     AttemptEnded {
         /// The request.
         request: RequestId,
@@ -74,15 +78,19 @@
     },
 }
 
-/// Other settings. Messages before this one were made under those that it replaces, messages after it under these.
+/// Other settings. Messages before this one were made under those that it replaces, messages after it under
+/// these.
 pub struct SettingsReplacement {
+    /// The settings from now on.
     pub settings: Arc<Settings>,
+    /// What the balancer is told of them.
     pub update: Box<ConfigUpdate>,
-    /// Takes the settings replaced: freeing the names of thousands of classes and tenants takes too long here.
+    /// Takes the settings replaced: to free the names of thousands of classes and tenants here would hold up
+    /// requests.
     pub retired: SyncSender<Arc<Settings>>,
 }
 
-/// What the dispatcher tells the client side.
+/// State of the dispatcher that the client side reads.
 #[derive(Default)]
 pub struct ServingStatus {
     /// Some backend can be sent requests.
