--- a/src/bin/load-balancer-proxy/dispatcher/actions.rs
+++ b/src/bin/load-balancer-proxy/dispatcher/actions.rs
@@ -8,6 +8,7 @@
 use load_balancer::{Action, BackendId, Micros, Outcome, RequestId, Time};
 
 impl Dispatcher {
+    /// Carries out one action of the tick at `now`.
     pub(super) fn carry_out(&mut self, now: Time, action: Action) {
         match action {
             Action::Dispatch { request, backend, write_by } => self.dispatch(now, request, backend, write_by),
--- a/src/bin/load-balancer-proxy/dispatcher/attempt_report.rs
+++ b/src/bin/load-balancer-proxy/dispatcher/attempt_report.rs
@@ -15,6 +15,7 @@
 }
 
 impl AttemptReport {
+    /// A report to be sent over `messages`.
     pub fn new(
         messages: mpsc::UnboundedSender<DispatcherMessage>, request: RequestId, attempt: AttemptNumber,
     ) -> AttemptReport {
--- a/src/bin/load-balancer-proxy/dispatcher/backend_table.rs
+++ b/src/bin/load-balancer-proxy/dispatcher/backend_table.rs
@@ -13,10 +13,12 @@
 }
 
 impl BackendTable {
+    /// A backend that has not been removed.
     pub fn get(&self, id: BackendId) -> Option<&Rc<Upstream>> {
         self.upstreams.get(&id)
     }
 
+    /// All backends, in no order.
     pub fn iter(&self) -> impl Iterator<Item = &Rc<Upstream>> {
         self.upstreams.values()
     }
@@ -26,7 +28,7 @@
         self.iter().any(|upstream| upstream.is_ready())
     }
 
-    /// Applies an endpoint list and gives its entries for the balancer.
+    /// Applies an endpoint list and returns its entries for the balancer.
     pub fn apply(&mut self, update: EndpointListUpdate, targets: Vec<Target>) -> Vec<Backend> {
         let is_complete = matches!(update, EndpointListUpdate::Snapshot | EndpointListUpdate::Cached);
         let mut unnamed = if is_complete { std::mem::take(&mut self.upstreams) } else { HashMap::new() };
--- a/src/bin/load-balancer-proxy/dispatcher/deadlines.rs
+++ b/src/bin/load-balancer-proxy/dispatcher/deadlines.rs
@@ -16,7 +16,7 @@
     pub request: RequestId,
 }
 
-/// The deadlines of the requests in hand.
+/// The deadlines of open requests.
 pub(super) struct Deadlines {
     pending: BTreeSet<Deadline>,
     /// No deadline is later: the process ends then.
@@ -26,6 +26,7 @@
 }
 
 impl Deadlines {
+    /// No deadlines, and no limit on them.
     pub fn new() -> Deadlines {
         Deadlines { pending: BTreeSet::new(), latest: Time::NEVER, overdue: VecDeque::new() }
     }
@@ -50,15 +51,17 @@
         self.latest = latest;
     }
 
+    /// Adds a deadline.
     pub fn insert(&mut self, deadline: Deadline) {
         self.pending.insert(deadline);
     }
 
+    /// Removes a deadline, unless it is past already.
     pub fn remove(&mut self, deadline: Deadline) {
         self.pending.remove(&deadline);
     }
 
-    /// Drops every deadline.
+    /// Removes every deadline; the limit on later ones stays.
     pub fn clear(&mut self) {
         self.pending.clear();
         self.overdue.clear();
@@ -99,8 +102,8 @@
         }
     }
 
-    /// Fails what the balancer has left unanswered past its grace, so that no client waits for ever. It never
-    /// rejects: only the balancer knows what may have been executed.
+    /// Fails requests that the balancer has not answered within the grace ticks, so that no client waits for
+    /// ever. They are never rejected: only the balancer knows what may have been executed.
     pub(super) fn fail_overdue(&mut self, now: Time) {
         while let Some(id) = self.deadlines.pop_overdue(now) {
             if self.requests.get(id).is_some_and(|request| !request.is_answered()) {
--- a/src/bin/load-balancer-proxy/dispatcher/log.rs
+++ b/src/bin/load-balancer-proxy/dispatcher/log.rs
@@ -1,9 +1,9 @@
-//! Log lines for operators.
+//! The log lines of the dispatcher.
 
 use crate::upstream::{Upstream, UpstreamRequest};
 use load_balancer::{AttemptNumber, AttemptResult, LogEvent, RequestId};
 
-/// An attempt is under way.
+/// An attempt was dispatched.
 pub(super) fn attempt_dispatched(
     request: &UpstreamRequest, id: RequestId, attempt: AttemptNumber, upstream: &Upstream,
 ) {
--- a/src/bin/load-balancer-proxy/dispatcher/message_handling.rs
+++ b/src/bin/load-balancer-proxy/dispatcher/message_handling.rs
@@ -1,5 +1,5 @@
-//! What messages bring about at once. The balancer hears of them in its next tick; a good answer does not wait
-//! for that.
+//! Handling of messages. The balancer receives them as events in its next tick; a served answer is sent to its
+//! client at once.
 
 use super::deadlines::Deadline;
 use super::request_table::OpenRequest;
@@ -11,6 +11,7 @@
 use std::collections::HashMap;
 
 impl Dispatcher {
+    /// Applies a message to the requests and backends, and queues its event for the balancer.
     pub(super) fn handle_message(&mut self, message: DispatcherMessage) {
         match message {
             DispatcherMessage::RequestReceived(received) => self.request_received(received),
@@ -61,8 +62,8 @@
         }
     }
 
-    /// Ends an attempt in flight, and answers its client if it was served. What comes of an attempt after its
-    /// end is ignored: each has one outcome.
+    /// Ends an attempt in flight, and answers its client if it was served. A second end of the same attempt is
+    /// ignored: each has one outcome.
     pub(super) fn end_attempt(
         &mut self, now: Time, id: RequestId, number: AttemptNumber, result: UpstreamResult,
     ) {
@@ -83,7 +84,7 @@
         self.events.push(Event::EndpointListChanged { update, backends });
     }
 
-    /// The balancer hears of it after the requests that came before it.
+    /// The event stands behind those of earlier requests, which are numbered by the settings replaced.
     fn settings_replaced(&mut self, replacement: SettingsReplacement) {
         let SettingsReplacement { settings, update, retired } = replacement;
         self.pool.set_timeouts(settings.dial_timeout, settings.conn_idle);
--- a/src/bin/load-balancer-proxy/dispatcher/mod.rs
+++ b/src/bin/load-balancer-proxy/dispatcher/mod.rs
@@ -1,6 +1,6 @@
-//! The dispatcher owns the requests in hand and their attempts: it turns what happens into events for the
-//! balancer and carries out the actions that come back. Which backend, whether to retry and whether to answer
-//! at all is the balancer's decision.
+//! The dispatcher owns the open requests and their attempts: it turns what happens into events for the balancer
+//! and carries out the actions that follow. Which requests are admitted, where an attempt goes and whether it is
+//! retried is decided by the balancer alone.
 //!
 //! | concern | module |
 //! | --- | --- |
@@ -41,7 +41,7 @@
 /// Idle connections are checked this often.
 const IDLE_CHECK_INTERVAL: Micros = Micros(1_000_000);
 
-/// Owns the requests in hand, their attempts and the balancer.
+/// Owns the open requests, their attempts and the balancer.
 pub struct Dispatcher {
     clock: Clock,
     settings: Arc<Settings>,
@@ -53,7 +53,7 @@
     requests: RequestTable,
     deadlines: Deadlines,
     timers: Timers,
-    /// What the balancer hears of in its next tick.
+    /// What the balancer handles in its next tick.
     events: Vec<Event>,
     /// Empty between events; kept for its allocation.
     actions: Vec<Action>,
--- a/src/bin/load-balancer-proxy/dispatcher/recovery.rs
+++ b/src/bin/load-balancer-proxy/dispatcher/recovery.rs
@@ -5,8 +5,8 @@
 use load_balancer::{Balancer, EndpointListUpdate, Event};
 
 impl Dispatcher {
-    /// Replaces the balancer, whose state cannot be trusted after a panic. The new one starts from the endpoint
-    /// list, and the requests in hand are failed. The panic itself was reported by the panic hook.
+    /// Replaces the balancer, whose state cannot be trusted after a panic. The new one starts from the
+    /// endpoint list, and all open requests are failed. The panic hook has reported the panic itself.
     pub(super) fn restart_balancer(&mut self) {
         tracing::error!(failed_requests = self.requests.len(), "balancer panicked, starting anew");
         self.seed = self.seed.wrapping_add(1); // the same seed could lead to the same panic
--- a/src/bin/load-balancer-proxy/dispatcher/request_table.rs
+++ b/src/bin/load-balancer-proxy/dispatcher/request_table.rs
@@ -1,4 +1,4 @@
-//! The requests in hand and their attempts in flight.
+//! Open requests and their attempts in flight.
 
 use super::deadlines::{Deadline, Deadlines};
 use super::log;
@@ -24,7 +24,7 @@
     /// `None`: it has had its final answer, or its client is gone.
     pub reply: Option<oneshot::Sender<FinalAnswer>>,
     pub attempts: HashMap<AttemptNumber, InFlightAttempt>,
-    /// Attempts that the balancer asked for so far.
+    /// How many attempts the balancer has asked for so far.
     pub dispatched: u32,
 }
 
@@ -39,7 +39,7 @@
         self.is_answered() && self.attempts.is_empty()
     }
 
-    /// Marks it as answered and gives the way to its client, if an answer was owed.
+    /// Marks it as answered and returns the sender to its client, if an answer was owed.
     pub fn take_reply(&mut self) -> Option<oneshot::Sender<FinalAnswer>> {
         self.upstream_request.mark_answered();
         self.reply.take()
@@ -68,7 +68,7 @@
     }
 }
 
-/// The requests in hand.
+/// The open requests.
 #[derive(Default)]
 pub(super) struct RequestTable {
     open: HashMap<RequestId, OpenRequest>,
@@ -77,27 +77,32 @@
 }
 
 impl RequestTable {
+    /// How many requests are open.
     pub fn len(&self) -> usize {
         self.open.len()
     }
 
+    /// An open request.
     pub fn get(&self, id: RequestId) -> Option<&OpenRequest> {
         self.open.get(&id)
     }
 
+    /// An open request.
     pub fn get_mut(&mut self, id: RequestId) -> Option<&mut OpenRequest> {
         self.open.get_mut(&id)
     }
 
+    /// All open requests, in no order.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = &mut OpenRequest> {
         self.open.values_mut()
     }
 
+    /// Adds a request under its id.
     pub fn insert(&mut self, request: OpenRequest) {
         self.open.insert(request.id, request);
     }
 
-    /// Takes out every request.
+    /// Removes and returns all requests, in no order.
     pub fn drain(&mut self) -> impl Iterator<Item = OpenRequest> + '_ {
         self.open.drain().map(|(_, request)| request)
     }
@@ -109,8 +114,8 @@
         }
     }
 
-    /// Removes what is finished, once the balancer knows of it. Until then it may ask for another attempt,
-    /// which must end under its own number: under another the balancer would count it as in flight for ever.
+    /// Removes the finished requests, after the balancer has handled their events. Until then it may ask for
+    /// another attempt, which must end under its own number: else the balancer counts it as in flight for ever.
     pub fn remove_finished(&mut self, deadlines: &mut Deadlines) {
         for id in std::mem::take(&mut self.finished) {
             if !self.is_finished(id) {
--- a/src/bin/load-balancer-proxy/dispatcher/tick.rs
+++ b/src/bin/load-balancer-proxy/dispatcher/tick.rs
@@ -8,7 +8,7 @@
 struct BalancerPanicked;
 
 impl Dispatcher {
-    /// Lets the balancer handle what has happened and the timers that are due, if there is any.
+    /// Lets the balancer handle the events since the last tick and the timers that are due, if there are any.
     pub(super) fn run_tick(&mut self, now: Time) {
         while let Some(token) = self.timers.pop_due(now) {
             self.events.push(Event::TimerFired { token });
--- a/src/bin/load-balancer-proxy/dispatcher/timers.rs
+++ b/src/bin/load-balancer-proxy/dispatcher/timers.rs
@@ -22,11 +22,12 @@
         self.heap.peek().map_or(Time::NEVER, |Reverse(timer)| timer.at)
     }
 
+    /// Adds a timer.
     pub fn set(&mut self, at: Time, token: TimerToken) {
         self.heap.push(Reverse(Timer { at, token }));
     }
 
-    /// Takes the next timer that is due.
+    /// Removes the next timer that is due.
     pub fn pop_due(&mut self, now: Time) -> Option<TimerToken> {
         if self.next() > now {
             return None;
@@ -34,6 +35,7 @@
         self.heap.pop().map(|Reverse(timer)| timer.token)
     }
 
+    /// Removes all timers.
     pub fn clear(&mut self) {
         self.heap.clear();
     }
--- a/src/bin/load-balancer-proxy/upstream/attempt.rs
+++ b/src/bin/load-balancer-proxy/upstream/attempt.rs
@@ -15,7 +15,7 @@
 
 /// How an attempt ended.
 pub struct UpstreamResult {
-    /// What the balancer is told.
+    /// The outcome for the balancer.
     pub outcome: Outcome,
     /// The response for the client, where the outcome is [`Outcome::Success`].
     pub response: Option<Response<Bytes>>,
@@ -37,19 +37,18 @@
 /// The times that bound an attempt.
 #[derive(Clone, Copy)]
 pub struct AttemptLimits {
-    /// What is not written whole by then is not written any more.
+    /// A request that is not fully written by then is not sent.
     pub write_by: Time,
     /// When the client's time is over.
     pub deadline: Time,
 }
 
-/// The connection was closed before a byte of the request was written: the attempt may use another one.
+/// A reused connection failed before a byte of the request was written: the attempt may use another one.
 struct StaleConnection;
 
 impl ConnectionPool {
-    /// Makes one attempt. It ends by itself, or is dropped, which closes its connection. Unless the request is
-    /// written whole by [`AttemptLimits::write_by`], and while it is still owed an answer, the outcome is
-    /// [`Outcome::NotSent`] and the connection is closed.
+    /// Makes one attempt; dropping the future closes its connection. The outcome is [`Outcome::NotSent`] unless
+    /// the request is fully written by [`AttemptLimits::write_by`] and before it is answered otherwise.
     pub async fn attempt(
         &self, upstream: &Rc<Upstream>, request: &UpstreamRequest, limits: AttemptLimits,
     ) -> UpstreamResult {
@@ -64,6 +63,7 @@
     }
 }
 
+/// What one attempt works with.
 struct Attempt<'a> {
     pool: &'a ConnectionPool,
     upstream: &'a Rc<Upstream>,
@@ -103,7 +103,7 @@
         self.exchange(pooled, request, write_window_over).await
     }
 
-    /// Writes the request and reads the response, if the request is written whole in time.
+    /// Writes the request and reads the response, if the request is fully written in time.
     async fn exchange(
         &self, pooled: PooledConnection, request: Request<Full<Bytes>>,
         write_window_over: Pin<&mut impl Future<Output = ()>>,
--- a/src/bin/load-balancer-proxy/upstream/backend.rs
+++ b/src/bin/load-balancer-proxy/upstream/backend.rs
@@ -5,9 +5,8 @@
 use load_balancer::{BackendState, Micros, Time};
 use std::cell::{Cell, RefCell};
 
-/// A connection is used again only this long after its last response: a defective backend may send a second
-/// one some milliseconds later, and nothing in a response tells which request it answers. On an idle
-/// connection it ends the connection; after the next request it would be served as the answer to that.
+/// A connection is reused only this long after its last response: a second response that a faulty backend sends
+/// some milliseconds later ends an idle connection, but would be served as the answer to the next request.
 pub(super) const REUSE_DELAY: Micros = Micros(5_000);
 
 /// A connection that has no request.
@@ -23,13 +22,13 @@
     pub target: Target,
     is_ready: Cell<bool>,
     idle: RefCell<Vec<IdleConnection>>,
-    /// The pool has it among the backends with idle connections.
+    /// The pool lists it among the backends with idle connections.
     listed_as_idle: Cell<bool>,
 }
 
-/// What became of the request to close an idle connection.
+/// The result of [`Upstream::close_one_idle`].
 pub(super) struct IdleClosed {
-    /// There was one, and it is closed.
+    /// A connection was closed.
     pub closed: bool,
     /// Others are left.
     pub has_more: bool,
@@ -84,7 +83,7 @@
         IdleClosed { closed, has_more: !idle.is_empty() }
     }
 
-    /// Notes whether the pool has it among the backends with idle connections, and gives what was noted.
+    /// Records whether the pool lists it among the backends with idle connections; returns the former value.
     pub(super) fn set_listed_as_idle(&self, listed: bool) -> bool {
         self.listed_as_idle.replace(listed)
     }
--- a/src/bin/load-balancer-proxy/upstream/connection.rs
+++ b/src/bin/load-balancer-proxy/upstream/connection.rs
@@ -26,7 +26,7 @@
 }
 
 impl Connection {
-    /// Speaks HTTP on a socket that is connected.
+    /// Starts HTTP on a connected socket.
     pub async fn open(stream: TcpStream, slot: SocketSlot) -> hyper::Result<Connection> {
         let write_progress = Rc::new(Cell::new(WriteProgress::default()));
         let socket = UpstreamSocket::new(stream, write_progress.clone());
@@ -39,7 +39,7 @@
         self.write_progress.clone()
     }
 
-    /// Sends the request and reads the whole response. The end of the connection shows in the result.
+    /// Sends the request and reads the response to its end. A connection that breaks shows in the result.
     pub async fn exchange(&mut self, request: Request<Full<Bytes>>) -> Result<UpstreamResult, ExchangeError> {
         self.write_progress.set(WriteProgress::NotStarted);
         let mut exchange = pin!(response::exchange(&mut self.sender, request));
@@ -54,7 +54,7 @@
 
     /// Whether it can take a request: the backend has not closed it and the last response is done.
     pub async fn is_reusable(&mut self) -> bool {
-        // A closed connection is not polled: waiting on it would hold a good answer back until the deadline.
+        // A closed connection is not polled again: it would hold a served answer back until the deadline.
         if !self.is_closed {
             self.is_closed =
                 poll_fn(|context| Poll::Ready(self.driver.as_mut().poll(context).is_ready())).await;
--- a/src/bin/load-balancer-proxy/upstream/connection_pool.rs
+++ b/src/bin/load-balancer-proxy/upstream/connection_pool.rs
@@ -19,7 +19,7 @@
 /// backends out of use would fill the backends' tables.
 const MAX_IDLE_TIME: Micros = Micros(5_000_000);
 
-/// Why no connection came up.
+/// Why no connection was opened.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ConnectError {
     /// No socket was connected.
@@ -42,7 +42,7 @@
     }
 }
 
-/// A connection that is an attempt's alone.
+/// A connection that is lent to one attempt.
 pub(super) struct PooledConnection {
     pub connection: Connection,
     /// It has carried requests before.
@@ -51,10 +51,11 @@
 
 /// The connections to all backends.
 pub struct ConnectionPool {
-    /// The clock of all that happens at the upstream side.
+    /// The time for the upstream side and the dispatcher.
     pub clock: Clock,
-    /// A connection that is not up after this time counts as failed.
+    /// A connection that is not open after this time counts as failed.
     dial_timeout: Cell<Micros>,
+    /// An idle connection is closed after this time.
     idle_limit: Cell<Micros>,
     sockets: SocketBudget,
     /// The backends that may have idle connections, each once.
@@ -126,8 +127,8 @@
         with_idle.push_back(Rc::downgrade(upstream));
     }
 
-    /// An idle connection past its [`REUSE_DELAY`] that the backend has not closed. To wait for that takes no
-    /// longer than to open another, whose handshake costs the backend work.
+    /// An idle connection past its [`REUSE_DELAY`] that the backend has not closed. Waiting for the delay takes
+    /// no longer than opening another connection, which costs the backend a handshake.
     async fn reuse_idle(&self, upstream: &Upstream) -> Option<Connection> {
         loop {
             let IdleConnection { since, mut connection } = upstream.take_idle(self.clock.now())?;
--- a/src/bin/load-balancer-proxy/upstream/request.rs
+++ b/src/bin/load-balancer-proxy/upstream/request.rs
@@ -9,8 +9,8 @@
 use std::cell::Cell;
 use tokio::sync::Notify;
 
-/// A backend is told that much less than what its client has left: the time to write the request, and what
-/// passes until it is written.
+/// The time left that a backend is sent is this much less than what its client has left: an allowance for the
+/// time until the request is written.
 const TIME_LEFT_MARGIN: Micros = Micros(10_000);
 
 /// A client's request as it is forwarded, shared by all of its attempts.
@@ -29,7 +29,7 @@
         UpstreamRequest { head, body, unseen_wait, is_answered: Cell::new(false), answered: Notify::new() }
     }
 
-    /// The request has had its final answer, or its client is gone: no attempt of it is begun from now on.
+    /// The request has had its final answer, or its client is gone: no attempt of it is written from now on.
     pub fn mark_answered(&self) {
         self.is_answered.set(true);
         self.answered.notify_waiters();
@@ -41,7 +41,7 @@
         value.and_then(|value| value.to_str().ok()).unwrap_or("-")
     }
 
-    /// Waits until no attempt may be begun any more.
+    /// Waits until the request is marked as answered.
     pub(super) async fn wait_until_answered(&self) {
         let answered = self.answered.notified(); // before the check, so that no notification is missed
         if !self.is_answered.get() {
@@ -64,7 +64,7 @@
         Some(request)
     }
 
-    /// The remaining time that a backend is told, where `time_left` remains until the deadline.
+    /// The time left that a backend is sent, in milliseconds, where `time_left` remains until the deadline.
     fn remaining_millis(&self, time_left: Micros) -> u64 {
         time_left.0.saturating_sub(self.unseen_wait.0).saturating_sub(TIME_LEFT_MARGIN.0) / 1000
     }
--- a/src/bin/load-balancer-proxy/upstream/response.rs
+++ b/src/bin/load-balancer-proxy/upstream/response.rs
@@ -1,4 +1,4 @@
-//! One exchange with a backend: its request is sent, its response read whole and judged.
+//! One exchange with a backend: the request is sent, the response read to its end and judged.
 
 use super::attempt::UpstreamResult;
 use crate::headers::{remove_hop_by_hop, MAX_BODY_BYTES, UNPROCESSED};
@@ -18,7 +18,7 @@
     /// The connection broke or ended.
     #[error("the connection broke")]
     ConnectionBroken,
-    /// Something came back that is no response: the backend lives.
+    /// The backend sent something that is not a response.
     #[error("the response is malformed")]
     MalformedResponse,
 }
@@ -34,7 +34,7 @@
 }
 
 impl ExchangeError {
-    /// Why a body did not come whole: it is too long or badly framed, or it was cut off.
+    /// Why a body could not be read: it is too long or badly framed, or it was cut off.
     fn from_body_error(error: &(dyn Error + 'static)) -> ExchangeError {
         let mut causes = std::iter::successors(Some(error), |error| (*error).source());
         if causes.any(is_malformed_body) {
@@ -51,7 +51,7 @@
     is_badly_framed || cause.is::<LengthLimitError>()
 }
 
-/// Sends the request and reads the whole response: a broken one must not reach the client as a good one.
+/// Sends the request and reads the response to its end: a truncated one must not reach the client.
 pub(super) async fn exchange(
     sender: &mut SendRequest<Full<Bytes>>, request: Request<Full<Bytes>>,
 ) -> Result<UpstreamResult, ExchangeError> {
@@ -61,6 +61,7 @@
     judge(head, body.to_bytes())
 }
 
+/// The result that a complete response stands for.
 fn judge(mut head: Parts, body: Bytes) -> Result<UpstreamResult, ExchangeError> {
     match head.status {
         StatusCode::OK if !is_readable(&head.headers) => Err(ExchangeError::MalformedResponse),
@@ -75,8 +76,7 @@
     }
 }
 
-/// Whether the body is as it was meant: a transfer coding other than chunked was not taken off it. Without one
-/// and without a length the body ends with its connection, and only where the backend closed that.
+/// Whether the body was decoded: hyper decodes no transfer coding but chunked.
 fn is_readable(headers: &HeaderMap) -> bool {
     let is_chunked = |value: &HeaderValue| value.as_bytes().eq_ignore_ascii_case(b"chunked");
     headers.get_all(TRANSFER_ENCODING).iter().all(is_chunked)
--- a/src/bin/load-balancer-proxy/upstream/socket.rs
+++ b/src/bin/load-balancer-proxy/upstream/socket.rs
@@ -1,5 +1,5 @@
-//! The socket of a connection to a backend. It records how much of the present request was written, and lets
-//! nothing pass for the proper end of a response but the backend's own close.
+//! The socket of a connection to a backend. It records how much of the present request was written, and accepts
+//! as the end of a response only a close by the backend.
 
 use hyper::rt::{Read, ReadBufCursor, Write};
 use hyper_util::rt::TokioIo;
@@ -12,10 +12,10 @@
 use tokio::io::{AsyncRead, ReadBuf};
 use tokio::net::TcpStream;
 
-/// Bytes read at once.
+/// The most that is read at once.
 const READ_CHUNK_BYTES: usize = 8 << 10;
 
-/// How much of the present request was handed to the socket. What was not handed over whole has never been
+/// How much of the present request was written to the socket. A request that was not fully written has not been
 /// executed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) enum WriteProgress {
@@ -48,8 +48,8 @@
 pub(super) struct UpstreamSocket {
     io: TokioIo<TcpStream>,
     progress: Rc<Cell<WriteProgress>>,
-    /// Some call on it has failed: the system reports an error once, and what looks like an end of stream
-    /// after it is none.
+    /// Some call on it has failed: the system reports an error only once, and an end of stream after it is not
+    /// the backend's.
     has_failed: bool,
 }
 
--- a/src/bin/load-balancer-proxy/upstream/socket_budget.rs
+++ b/src/bin/load-balancer-proxy/upstream/socket_budget.rs
@@ -13,19 +13,22 @@
 pub(super) struct SocketSlot(Rc<Cell<usize>>);
 
 impl SocketBudget {
+    /// A budget of `limit` sockets.
     pub fn new(limit: usize) -> SocketBudget {
         SocketBudget { in_use: Rc::default(), limit }
     }
 
+    /// How many sockets there may be.
     pub fn limit(&self) -> usize {
         self.limit
     }
 
+    /// Whether all sockets are in use.
     pub fn is_exhausted(&self) -> bool {
         self.in_use.get() >= self.limit
     }
 
-    /// Takes a slot; the caller has seen that there is one.
+    /// Takes a slot; the caller has checked that the budget is not exhausted.
     pub fn take(&self) -> SocketSlot {
         self.in_use.set(self.in_use.get() + 1);
         SocketSlot(self.in_use.clone())
