--- a/src/bin/load-balancer-proxy/dispatcher/tests.rs
+++ b/src/bin/load-balancer-proxy/dispatcher/tests.rs
@@ -1,5 +1,6 @@
 //! Tests of the dispatcher against its own state.
 
+use super::attempt_report::AttemptReport;
 use super::request_table::InFlightAttempt;
 use super::{Dispatcher, DispatcherHandles};
 use crate::clock::Clock;
@@ -8,7 +9,12 @@
 use crate::upstream::{ConnectionPool, UpstreamRequest, UpstreamResult};
 use bytes::Bytes;
 use hyper::Response;
-use load_balancer::{AttemptNumber, BackendId, ClassId, Config, Event, Micros, Outcome, RequestId, Time};
+use load_balancer::discovery::Target;
+use load_balancer::{
+    AttemptNumber, Backend, BackendId, BackendState, ClassId, Config, EndpointListUpdate, Event, Micros,
+    Outcome, RequestId, Time,
+};
+use std::net::SocketAddr;
 use std::rc::Rc;
 use std::sync::Arc;
 use tokio::sync::{mpsc, oneshot};
@@ -28,28 +34,45 @@
     }
 }
 
-/// The balancer may ask for a hedged request in the very tick in which the answer came: that attempt is the
-/// second.
-#[tokio::test]
-async fn an_attempt_after_the_answer_ends_under_its_own_number() {
-    let clock = Clock::new();
+fn dispatcher(clock: Clock) -> Dispatcher {
     let (inputs, _messages) = mpsc::unbounded_channel();
     let pool = Rc::new(ConnectionPool::new(clock, SECOND, SECOND, 8));
     let handles = DispatcherHandles { pool, inputs, follow: Rc::default(), status: Rc::default() };
-    let mut dispatcher = Dispatcher::new(Arc::new(settings()), 1, handles).expect("sound");
-    let id = RequestId(1);
-    let (reply, mut answer) = oneshot::channel();
+    Dispatcher::new(Arc::new(settings()), 1, handles).expect("sound")
+}
+
+/// Hands the dispatcher a request and returns the channel of its answer.
+fn receive(dispatcher: &mut Dispatcher, id: RequestId, deadline: Time) -> oneshot::Receiver<FinalAnswer> {
+    let (reply, answer) = oneshot::channel();
     let upstream_request = UpstreamRequest::new(hyper::Request::new(()), Bytes::new(), Micros(0));
     dispatcher.handle_message(DispatcherMessage::RequestReceived(ReceivedRequest {
         id,
         class: ClassId(0),
         tenant: None,
-        deadline: clock.now() + SECOND,
+        deadline,
         expected_work: None,
         is_client_retry: false,
         upstream_request: Rc::new(upstream_request),
         answer: reply,
     }));
+    answer
+}
+
+fn target(id: BackendId, state: BackendState) -> Target {
+    Target {
+        backend: Backend { id, state, ..Backend::default() },
+        address: SocketAddr::from(([127, 0, 0, 1], 1)),
+    }
+}
+
+/// The balancer may ask for a hedged request in the very tick in which the answer came: that attempt is the
+/// second.
+#[tokio::test]
+async fn an_attempt_after_the_answer_ends_under_its_own_number() {
+    let clock = Clock::new();
+    let mut dispatcher = dispatcher(clock);
+    let id = RequestId(1);
+    let mut answer = receive(&mut dispatcher, id, clock.now() + SECOND);
     let sent_at = clock.now();
     let task = tokio::spawn(std::future::pending::<()>()).abort_handle();
     let request = dispatcher.requests.get_mut(id).expect("open");
@@ -70,3 +93,73 @@
     assert_eq!(dispatcher.requests.len(), 0, "no request is left");
     assert_eq!(dispatcher.deadlines.next(), Time::NEVER, "no deadline is left");
 }
+
+/// The task of an attempt may end by a panic after its request was written.
+#[test]
+fn an_attempt_report_that_is_dropped_unsent_reports_a_reset() {
+    let (messages, mut reported) = mpsc::unbounded_channel();
+    drop(AttemptReport::new(messages, RequestId(1), AttemptNumber(2)));
+    let Ok(DispatcherMessage::AttemptEnded { request, attempt, result }) = reported.try_recv() else {
+        panic!("a report");
+    };
+    assert_eq!((request, attempt), (RequestId(1), AttemptNumber(2)));
+    assert_eq!(result.outcome, Outcome::ConnectionReset);
+    assert!(result.response.is_none());
+    assert!(reported.try_recv().is_err(), "one report");
+}
+
+#[test]
+fn an_attempt_report_is_sent_once() {
+    let (messages, mut reported) = mpsc::unbounded_channel();
+    AttemptReport::new(messages, RequestId(1), AttemptNumber(0)).send(Outcome::Rejected.into());
+    let Ok(DispatcherMessage::AttemptEnded { result, .. }) = reported.try_recv() else { panic!("a report") };
+    assert_eq!(result.outcome, Outcome::Rejected);
+    assert!(reported.try_recv().is_err(), "one report");
+}
+
+/// A request that the balancer does not answer is failed, but not before the balancer's last chance to.
+#[tokio::test]
+async fn an_unanswered_request_is_failed_two_ticks_after_its_deadline() {
+    let clock = Clock::new();
+    let mut dispatcher = dispatcher(clock);
+    let id = RequestId(1);
+    let deadline = clock.now() + SECOND;
+    let mut answer = receive(&mut dispatcher, id, deadline);
+    let failed_at = deadline + Micros(2 * dispatcher.settings.module.tick.0);
+    dispatcher.expire_deadlines(deadline);
+    dispatcher.fail_overdue(Time(failed_at.0 - 1));
+    assert!(answer.try_recv().is_err(), "still the balancer's to answer");
+    dispatcher.fail_overdue(failed_at);
+    assert!(matches!(answer.try_recv(), Ok(FinalAnswer::Failed)));
+    assert_eq!(dispatcher.events.last(), Some(&Event::ClientDisconnected { request: id }));
+    dispatcher.requests.remove_finished(&mut dispatcher.deadlines);
+    assert_eq!(dispatcher.requests.len(), 0, "no request is left");
+}
+
+/// What a new balancer starts from: no request, and the endpoint list as it was.
+#[tokio::test]
+async fn a_restart_of_the_balancer_fails_open_requests_and_keeps_the_endpoint_list() {
+    let clock = Clock::new();
+    let mut dispatcher = dispatcher(clock);
+    let (ready, draining, removed) = (BackendId(1), BackendId(2), BackendId(3));
+    dispatcher.handle_message(DispatcherMessage::EndpointList {
+        update: EndpointListUpdate::Snapshot,
+        targets: vec![
+            target(ready, BackendState::Ready),
+            target(draining, BackendState::Draining),
+            target(removed, BackendState::Removed),
+        ],
+    });
+    let mut answer = receive(&mut dispatcher, RequestId(1), clock.now() + SECOND);
+    dispatcher.restart_balancer();
+    assert!(matches!(answer.try_recv(), Ok(FinalAnswer::Failed)));
+    assert_eq!(dispatcher.requests.len(), 0, "no request is left");
+    assert_eq!(dispatcher.deadlines.next(), Time::NEVER, "no deadline is left");
+    let [Event::EndpointListChanged { update, backends }] = &mut dispatcher.events[..] else {
+        panic!("the list alone: {:?}", dispatcher.events);
+    };
+    backends.sort_by_key(|backend| backend.id);
+    let states: Vec<_> = backends.iter().map(|backend| (backend.id, backend.state)).collect();
+    assert_eq!(states, [(ready, BackendState::Ready), (draining, BackendState::Draining)]);
+    assert_eq!(*update, EndpointListUpdate::Cached);
+}
