--- a/src/action.rs
+++ b/src/action.rs
@@ -6,6 +6,10 @@
 use std::fmt;
 
 /// Something to do. Actions are carried out in order.
+///
+/// Attempts of a request are numbered from 0 in the order of their [`Dispatch`](Action::Dispatch), by host
+/// and balancer alike. There is no action for a served request: the host forwards a
+/// [`Success`](Outcome::Success) at once and reports it as [`answered`](crate::AttemptResult::answered).
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send an attempt; it may last until the client gives up.
@@ -47,7 +51,8 @@
     Log(LogEvent),
 }
 
-/// What is logged for operators.
+/// What is logged for operators. `Display` is for hosts that log text alone; the proxy logs a message with
+/// fields.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LogEvent {
     /// The subscription to the endpoint list was lost; a call follows after a backoff.
--- a/src/backend.rs
+++ b/src/backend.rs
@@ -46,3 +46,10 @@
     /// The call or the subscription failed; the list held stays in force.
     SubscriptionLost,
 }
+
+impl EndpointListUpdate {
+    /// Whether the entries are all there are: what they do not name is removed.
+    pub fn is_complete(self) -> bool {
+        matches!(self, EndpointListUpdate::Snapshot | EndpointListUpdate::Cached)
+    }
+}
--- a/src/balancer/admission.rs
+++ b/src/balancer/admission.rs
@@ -7,7 +7,7 @@
 use super::priority::{class_priorities, is_low_priority};
 use crate::config::Config;
 use crate::random::Random;
-use crate::units::Micros;
+use crate::units::{ClassId, Micros};
 
 /// Part of the time between an unloaded answer and the latency objective within which an answer is prompt: at
 /// twice that the tail of the answers misses the objective.
@@ -16,12 +16,14 @@
 const LEAST_ADMITTED_FRACTION: f64 = 0.05;
 /// Relative change of the admitted fraction for each answer.
 const ADJUSTMENT_STEP: f64 = 0.07;
-/// An answer that is not prompt counts this many times: the fraction settles where a third are not, so that a
-/// quarter of the backends may be outliers without any shedding.
-const LATE_ANSWER_WEIGHT: f64 = 2.0;
+/// A slow answer, one that is not prompt, counts this many times: the fraction settles where a third are
+/// slow, so that a quarter of the backends may be outliers without any shedding.
+const SLOW_ANSWER_WEIGHT: f64 = 2.0;
 /// Requests a second from which the step is cut: it must not outrun the answers that tell its effect.
 const FULL_STEP_RATE: f64 = 10.0;
-/// Value of a client retry beside a first attempt, at least: some are still served in time.
+/// Requests a second that a proxy is taken to have while its rate is not known: a full step.
+const UNKNOWN_RATE_PER_SECOND: f64 = 1.0;
+/// Value of a client retry relative to an original request, at least: some are still served in time.
 const LEAST_RETRY_VALUE: f64 = 0.1;
 
 /// The admitted part of the traffic, and what it is made of.
@@ -35,7 +37,8 @@
         Admission { admitted_fraction: 1.0, low_priority_fraction: 0.0 }
     }
 
-    /// The concurrency limits of few proxies bound what a backend holds; many learn it from the answers.
+    /// Up to this many proxies the concurrency limits bound what is in flight at a backend; with more, one
+    /// attempt of each proxy is over the limit already, and they learn from the answers.
     fn is_adaptive(config: &Config) -> bool {
         f64::from(config.proxy_count) > IN_FLIGHT_PER_BACKEND
     }
@@ -55,19 +58,21 @@
 
     /// Takes in whether an answer was prompt. The fraction moves by answers, not by arrivals: it returns
     /// slowly after deep shedding, while overloaded backends work off what they have.
-    pub fn record_answer(&mut self, config: &Config, arrival_rate: Option<f64>, is_prompt: bool) {
+    pub fn record_answer(&mut self, config: &Config, proxy_rate: Option<f64>, is_prompt: bool) {
         if !Self::is_adaptive(config) {
             return;
         }
-        let step = ADJUSTMENT_STEP * (FULL_STEP_RATE / arrival_rate.unwrap_or(1.0)).min(1.0);
-        let change = if is_prompt { 1.0 + step } else { 1.0 - LATE_ANSWER_WEIGHT * step };
+        let step =
+            ADJUSTMENT_STEP * (FULL_STEP_RATE / proxy_rate.unwrap_or(UNKNOWN_RATE_PER_SECOND)).min(1.0);
+        let change = if is_prompt { 1.0 + step } else { 1.0 - SLOW_ANSWER_WEIGHT * step };
         self.admitted_fraction = (self.admitted_fraction * change).clamp(LEAST_ADMITTED_FRACTION, 1.0);
     }
 
     /// Whether a request is admitted. The admitted fraction covers the traffic from the highest priority
     /// down; of the class at its edge a random part is admitted.
     pub fn admits(
-        &self, config: &Config, classes: &ClassTable, class: usize, relative_value: f64, random: &mut Random,
+        &self, config: &Config, classes: &ClassTable, class: ClassId, relative_value: f64,
+        random: &mut Random,
     ) -> bool {
         if self.admitted_fraction >= 1.0 {
             return true;
@@ -76,16 +81,16 @@
         random.unit() * layer.own < self.admitted_fraction - layer.above
     }
 
-    fn layer_of(&self, config: &Config, classes: &ClassTable, class: usize, relative_value: f64) -> Layer {
+    fn layer_of(&self, config: &Config, classes: &ClassTable, class: ClassId, relative_value: f64) -> Layer {
         let full_value_fraction = 1.0 - self.low_priority_fraction;
         if is_low_priority(relative_value) {
             return Layer { above: full_value_fraction, own: self.low_priority_fraction };
         }
         let priorities = class_priorities(config, classes);
-        let load = |index: usize| classes.all()[index].arrival_share() * classes.relative_work(index);
-        let total: f64 = (0..priorities.len()).map(load).sum();
-        let above: f64 =
-            (0..priorities.len()).filter(|index| priorities[*index] > priorities[class]).map(load).sum();
+        let load = |class: ClassId| classes.all()[class.0].arrival_share() * classes.relative_work(class);
+        let has_precedence = |other: &ClassId| priorities[other.0] > priorities[class.0];
+        let total: f64 = classes.numbers().map(load).sum();
+        let above: f64 = classes.numbers().filter(has_precedence).map(load).sum();
         Layer { above: above / total * full_value_fraction, own: load(class) / total * full_value_fraction }
     }
 }
@@ -98,8 +103,8 @@
     own: f64,
 }
 
-/// Value of a request beside a first attempt within quota. A client that retries waited for its first
-/// attempt: what is left to earn is mostly the late weight, and serving it before a new request would make
+/// Value of a request relative to an original one within quota. A client that retries waited for its
+/// original: what is left to earn is mostly the late weight, and serving it before a new request would make
 /// both late.
 pub(super) fn relative_value(
     config: &Config, late_weight_fraction: f64, is_client_retry: bool, over_quota: bool,
--- a/src/balancer/classes.rs
+++ b/src/balancer/classes.rs
@@ -64,31 +64,41 @@
         &self.classes
     }
 
+    /// The numbers of [`all`](ClassTable::all).
+    pub fn numbers(&self) -> impl Iterator<Item = ClassId> {
+        (0..self.classes.len()).map(ClassId)
+    }
+
     /// The terms of a class in force.
     pub fn terms(&self, class: ClassId) -> Option<&Class> {
         self.active().get(class.0).map(|class| &class.terms)
     }
 
-    pub fn record_arrival(&mut self, arrived: usize) {
+    pub fn record_arrival(&mut self, arrived: ClassId) {
         for (index, class) in self.classes.iter_mut().enumerate() {
-            let hit = f64::from(index == arrived);
+            let hit = f64::from(index == arrived.0);
             class.arrival_share += (hit - class.arrival_share) / MEAN_WINDOW;
         }
     }
 
     /// Takes in that a request was answered.
-    pub fn record_answer(&mut self, answered: usize, on_time: bool) {
+    pub fn record_answer(&mut self, answered: ClassId, on_time: bool) {
         for (index, class) in self.classes.iter_mut().enumerate() {
-            let hit = f64::from(on_time && index == answered);
+            let hit = f64::from(on_time && index == answered.0);
             class.on_time_share += (hit - class.on_time_share) / MEAN_WINDOW;
         }
     }
 
-    /// Takes in the latency of a served request, in seconds; the same for a request of mean work.
-    pub fn record_latency(&mut self, class: usize, secs: f64) -> f64 {
-        self.classes[class].latency.add(secs, MEAN_WINDOW);
+    /// Takes in the latency of a served request, in seconds.
+    pub fn record_latency(&mut self, class: ClassId, secs: f64) {
+        self.classes[class.0].latency.add(secs, MEAN_WINDOW);
         self.overall_latency.add(secs, MEAN_WINDOW);
-        secs * self.overall_latency.value() / self.classes[class].latency.value()
+    }
+
+    /// What a request of mean work would have taken, where one of the class took `secs`. Some request of the
+    /// class must have been served.
+    pub fn scaled_to_mean_work(&self, class: ClassId, secs: f64) -> f64 {
+        secs * self.overall_latency.value() / self.classes[class.0].latency.value()
     }
 
     /// Takes in the work that a client expects of its request.
@@ -106,15 +116,15 @@
         self.overall_latency.samples() > 0.0
     }
 
-    /// A class's work beside the mean, as far as latency tells it.
-    pub fn relative_work(&self, class: usize) -> f64 {
-        self.classes[class].latency.get().map_or(1.0, |own| own / self.overall_latency.value())
+    /// A class's work relative to that of a mean request, as far as latency tells it.
+    pub fn relative_work(&self, class: ClassId) -> f64 {
+        self.classes[class.0].latency.get().map_or(1.0, |own| own / self.overall_latency.value())
     }
 
     /// What a served request of the class takes in the mean.
-    pub fn typical_latency(&self, class: usize, objective: Micros) -> Micros {
+    pub fn typical_latency(&self, class: ClassId, objective: Micros) -> Micros {
         let unknown = objective.times(UNKNOWN_LATENCY_FRACTION);
-        self.classes[class].latency.get().map_or(unknown, Micros::from_secs)
+        self.classes[class.0].latency.get().map_or(unknown, Micros::from_secs)
     }
 
     /// Puts other classes in force. `previous` names for each its number so far: what was learned of it
@@ -124,11 +134,9 @@
         let mut mapping = ClassMapping::new(replaced);
         for (index, terms) in classes.iter().enumerate() {
             let before = previous.get(index).copied().flatten();
-            let mut class = TrackedClass::new(terms.clone());
-            if let Some(known) = before.and_then(|before| mapping.assign(before.0, index)) {
-                class = TrackedClass { terms: class.terms, ..known };
-            }
-            self.classes.push(class);
+            let known = before.and_then(|before| mapping.assign(before, ClassId(index)));
+            let learned = known.unwrap_or_else(|| TrackedClass::new(terms.clone()));
+            self.classes.push(TrackedClass { terms: terms.clone(), ..learned });
         }
         self.active = classes.len();
         mapping
@@ -136,9 +144,9 @@
 
     /// The new number of a class that a request in hand belongs to; a dropped class is kept behind the active
     /// ones.
-    pub fn renumber(&mut self, mapping: &mut ClassMapping, class: usize) -> usize {
+    pub fn renumber(&mut self, mapping: &mut ClassMapping, class: ClassId) -> ClassId {
         if mapping.is_unassigned(class) {
-            let dropped = mapping.assign(class, self.classes.len());
+            let dropped = mapping.assign(class, ClassId(self.classes.len()));
             self.classes.extend(dropped);
         }
         mapping.new_number(class)
--- a/src/balancer/deadlines.rs
+++ b/src/balancer/deadlines.rs
@@ -8,9 +8,8 @@
 
 /// A queued request is reviewed every so many ticks.
 const QUEUED_REVIEW_TICKS: f64 = 4.0;
-/// An attempt past its objective and this many times older than typical, at a backend that answered others
-/// since, is lost with its connection and holds capacity in vain: a slowed backend answers, if ten times
-/// slower.
+/// An attempt whose answer is of no use any more, and that is this many times older than typical while its
+/// backend answered others since, is lost with its connection: a slowed backend answers, if ten times slower.
 const LOST_LATENCIES: f64 = 12.0;
 
 /// What a review found, and when the next one is due.
@@ -19,6 +18,7 @@
     pub next: Time,
 }
 
+/// What is to be done with a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Finding {
     /// Nothing is to be done.
@@ -44,17 +44,17 @@
 pub(super) fn review(
     config: &Config, fleet: &Fleet, now: Time, request: &Request, typical: Micros,
 ) -> Review {
-    let last_start = last_useful_start(request);
+    let latest_answer = latest_useful_answer(request);
     // An answer at the deadline itself would be too late.
     let last_tick = request.deadline.saturating_sub(config.tick);
-    let lost_at = attempt_lost_at(fleet, request, last_start, typical);
+    let lost_at = attempt_lost_at(fleet, request, latest_answer, typical);
     let end = lost_at.map_or(last_tick, |at| at.min(last_tick));
     let is_in_flight = request.is_in_flight();
     let routine = if is_in_flight { request.deadline } else { next_queued_review(config, now) };
-    let starts_too_late = !is_in_flight && now + typical >= last_start;
-    let finding = if now >= end || starts_too_late {
+    let would_be_too_late = !is_in_flight && now + typical >= latest_answer;
+    let finding = if now >= end || would_be_too_late {
         Finding::GiveUp // while a rejection is still harmless
-    } else if is_backend_lost(fleet, request) && now + typical < request.objective {
+    } else if is_backend_lost(fleet, request) && now + typical < request.objective_at {
         Finding::BackendLost
     } else {
         Finding::Keep
@@ -62,22 +62,23 @@
     Review { finding, next: routine.min(end) }
 }
 
-/// Until when an attempt may begin that is of use: a late answer counts only if its class gives it a weight.
-fn last_useful_start(request: &Request) -> Time {
+/// Until when an answer is of use: past the objective only if the class gives it a weight, and if the request
+/// was sent before. No capacity is spent on a late answer to a request that has not begun.
+fn latest_useful_answer(request: &Request) -> Time {
     let late_answer_counts = request.terms.late_weight_fraction > 0.0 && !request.is_unsent();
     if late_answer_counts {
         request.deadline
     } else {
-        request.objective
+        request.objective_at
     }
 }
 
 /// When the newest attempt counts as lost; `None` while its backend has answered nothing since.
-fn attempt_lost_at(fleet: &Fleet, request: &Request, last_start: Time, typical: Micros) -> Option<Time> {
+fn attempt_lost_at(fleet: &Fleet, request: &Request, latest_answer: Time, typical: Micros) -> Option<Time> {
     let newest = request.attempts.last()?;
     let backend = fleet.backends.get(&newest.backend.id)?;
     let has_responded = backend.health.has_responded_since(newest.sent_at);
-    has_responded.then(|| last_start.max(newest.sent_at + typical.times(LOST_LATENCIES)))
+    has_responded.then(|| latest_answer.max(newest.sent_at + typical.times(LOST_LATENCIES)))
 }
 
 /// Whether the only attempt of the request is in flight at a backend that is unresponsive or no longer known.
--- a/src/balancer/dispatching.rs
+++ b/src/balancer/dispatching.rs
@@ -64,7 +64,7 @@
             config: &self.config,
             fleet: &self.fleet,
             now,
-            arrival_rate: self.arrival_rate.per_second(),
+            proxy_rate: self.admitted_rate.per_second(),
         };
         let selection = Selection {
             fleet: &self.fleet,
@@ -90,18 +90,19 @@
             in_flight: true,
             never_executed: false,
         });
-        backend.in_flight += 1;
+        backend.attempt_started();
         backend.recent_work.record(&self.config, now, self.classes.relative_work(request.class));
         let attempt = InFlightAttempt {
             backend: backend_id,
             class: request.class,
-            objective: request.terms.latency_objective,
+            class_objective: request.terms.latency_objective,
             sent_at: now,
-            is_late: false,
+            counted_as_slow: false,
         };
-        // An attempt that goes out after the window has no retry to fear, and no time to be written by.
+        // Where the window is no longer than the allowance for a stall of the host, no retry can follow this
+        // attempt, and it may be written at any time.
         let write_by = retry::idempotency_deadline(&self.config, request).filter(|end| *end > now);
-        self.wakeup.by(now + self.prompt_limit_of(&attempt));
+        self.wakeup.schedule(now + self.prompt_limit_of(&attempt));
         self.attempts.insert(AttemptId { request: id, number }, attempt);
         self.actions.push(Action::Dispatch { request: id, backend: backend_id, write_by });
     }
--- a/src/balancer/fleet.rs
+++ b/src/balancer/fleet.rs
@@ -1,5 +1,6 @@
-//! The backends and kinds that this proxy knows of. Each part of a record belongs to the module whose type it
-//! has; what is left here is membership.
+//! The backends and kinds that this proxy knows of: membership by the endpoint list. Each part of a record
+//! belongs to the module whose type it has, which alone changes it; a plain number names the module that sets
+//! it.
 
 use super::concurrency_limit::ConcurrencyLimit;
 use super::outlier_detection::Health;
@@ -14,18 +15,21 @@
 /// Kinds up to which those without a backend are remembered: what was learned of a kind outlives an empty
 /// list, and names that come and go do not add up.
 const REMEMBERED_KINDS: usize = 16;
+/// Guards a division by the ready backends of a kind.
+const LEAST_READY_BACKENDS: f64 = 1e-9;
 
 /// What is known of a backend.
 #[derive(Default)]
 pub(super) struct TrackedBackend {
     /// Its entry in the endpoint list.
     pub record: Backend,
-    /// From 0 (send nothing) to 1 (healthy, warm, not overloaded).
+    /// From 0 (send nothing) to 1 (healthy, warm, not overloaded): its health times its warm fraction times
+    /// what its reported load leaves. Set by `share_update`; an ejection sets it to 0 at once.
     pub readiness: f64,
-    /// Attempts of this proxy that have not ended.
-    pub in_flight: u32,
-    /// Its part of this proxy's traffic.
+    /// Its part of this proxy's traffic; set by `traffic_allocation`.
     pub traffic_share: f64,
+    /// Attempts of this proxy that have not ended.
+    in_flight: u32,
     pub health: Health,
     pub recent_work: RecentWork,
     pub coverage: SubsetCoverage,
@@ -33,6 +37,21 @@
 }
 
 impl TrackedBackend {
+    /// Attempts of this proxy that have not ended.
+    pub fn in_flight(&self) -> u32 {
+        self.in_flight
+    }
+
+    /// An attempt was dispatched.
+    pub fn attempt_started(&mut self) {
+        self.in_flight += 1;
+    }
+
+    /// An attempt ended, however that was.
+    pub fn attempt_ended(&mut self) {
+        self.in_flight = self.in_flight.saturating_sub(1);
+    }
+
     /// The list allows new requests.
     pub fn is_listed_ready(&self) -> bool {
         self.record.state == BackendState::Ready
@@ -53,12 +72,12 @@
 #[derive(Default)]
 pub(super) struct TrackedKind {
     pub speed: KindSpeed,
-    /// Sum of its backends' readiness.
-    pub readiness: f64,
-    /// Its backends that the list allows requests to, whatever their health.
-    pub listed: f64,
-    /// Part of all proxies' traffic, by HALB.
-    pub share: f64,
+    /// Backends that can be used: the sum of their readiness. Set by `share_update`, like the next three.
+    pub ready_backends: f64,
+    /// Backends that the list allows requests to, whatever their health.
+    pub listed_backends: f64,
+    /// Part of the traffic of all proxies, by HALB.
+    pub fleet_share: f64,
     /// Highest weight that the list gave one of its backends: that of an idle one.
     pub idle_weight: f64,
     pub subset: KindSubset,
@@ -78,10 +97,19 @@
         self.kinds.get(&backend.record.kind)
     }
 
+    /// The part of the traffic of all proxies that a backend receives where subsets, zones and slow start
+    /// change nothing.
+    pub fn fair_share(&self, backend: &TrackedBackend) -> f64 {
+        let part_of = |kind: &TrackedKind| {
+            kind.fleet_share * backend.readiness / kind.ready_backends.max(LEAST_READY_BACKENDS)
+        };
+        self.kind_of(backend).map_or(0.0, part_of)
+    }
+
     /// Takes in an endpoint list; true if anything but weights changed.
     pub fn apply(&mut self, update: EndpointListUpdate, list: Vec<Backend>) -> bool {
         let mut changed = false;
-        if matches!(update, EndpointListUpdate::Snapshot | EndpointListUpdate::Cached) {
+        if update.is_complete() {
             changed = self.remove_unlisted(&list);
         }
         for record in list {
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -61,7 +61,7 @@
 use concurrency_limit::ProxyLimit;
 use fleet::Fleet;
 use operator_log::OperatorLog;
-use outlier_detection::OutlierDetection;
+use outlier_detection::UnresponsiveBackends;
 use quota::Quotas;
 use request::{AttemptId, InFlightAttempt, Request};
 use request_queue::RequestQueue;
@@ -70,6 +70,9 @@
 use subscription::Subscription;
 use wakeup::Wakeup;
 
+/// When a rejected client may return: until then the rate that overloaded the backends still counts.
+const RETRY_AFTER: Micros = RATE_MEMORY;
+
 /// The decisions of one proxy. Give it every event in order; it answers with actions.
 pub struct Balancer {
     config: Config,
@@ -79,7 +82,7 @@
     quotas: Quotas,
     admission: Admission,
     retry_budget: RetryBudget,
-    outlier_detection: OutlierDetection,
+    unresponsive_backends: UnresponsiveBackends,
     subscription: Subscription,
     proxy_limit: ProxyLimit,
     /// Requests that are owed an answer.
@@ -87,8 +90,8 @@
     queue: RequestQueue,
     /// Attempts in flight, with or without their request.
     attempts: BTreeMap<AttemptId, InFlightAttempt>,
-    /// Admitted requests.
-    arrival_rate: Rate,
+    /// Requests a second that admission control lets pass, also those that then find no allocated capacity.
+    admitted_rate: Rate,
     /// The traffic shares are updated this often: the shortest latency objective.
     update_interval: Micros,
     updated_at: Time,
@@ -109,13 +112,13 @@
             quotas: Quotas::new(config.tenants.len()),
             admission: Admission::new(),
             retry_budget: RetryBudget::default(),
-            outlier_detection: OutlierDetection::default(),
+            unresponsive_backends: UnresponsiveBackends::default(),
             subscription: Subscription::new(config.discovery),
             proxy_limit: ProxyLimit::default(),
             requests: BTreeMap::new(),
             queue: RequestQueue::default(),
             attempts: BTreeMap::new(),
-            arrival_rate: Rate::default(),
+            admitted_rate: Rate::default(),
             update_interval: shortest_objective(&config.classes),
             updated_at: Time(0),
             wakeup: Wakeup::new(),
@@ -125,10 +128,9 @@
         })
     }
 
-    /// When a client that is rejected now may be admitted: until then the rate that overloaded the backends
-    /// still counts.
+    /// When a client that is rejected now may return, from now.
     pub fn retry_after(&self) -> Micros {
-        RATE_MEMORY
+        RETRY_AFTER
     }
 
     /// Takes one event that happened at `now` and adds the actions it calls for. Time does not go back from
@@ -184,7 +186,7 @@
         for request in self.requests.values_mut() {
             request.shorten(deadline);
         }
-        self.wakeup.by(now);
+        self.wakeup.schedule(now);
     }
 
     /// What is due by time alone.
@@ -193,14 +195,14 @@
             self.actions.push(Action::Resubscribe);
         }
         self.wake_for_subscription();
-        self.find_late_attempts(now);
+        self.count_slow_attempts(now);
         self.find_unresponsive_backends(now);
         self.review_requests(now);
     }
 
     fn wake_for_subscription(&mut self) {
         if let Some(at) = self.subscription.next_call() {
-            self.wakeup.by(at);
+            self.wakeup.schedule(at);
         }
     }
 }
--- a/src/balancer/outlier_detection.rs
+++ b/src/balancer/outlier_detection.rs
@@ -7,8 +7,8 @@
 use crate::random::Random;
 use crate::units::{BackendId, Micros, Time};
 
-/// Successes after an ejection for error answers that clear it: where a fourth of the answers are errors, two
-/// of them come sooner as a rule.
+/// Successes after an ejection for error answers that clear it. A backend that answers every fourth request
+/// with an error is likely to be ejected again before that many.
 const PROBATION_SUCCESSES: u32 = 10;
 /// Least error rate at which a backend is ejected: two errors close together reach it.
 const LEAST_EJECTION_ERROR_RATE: f64 = 0.3;
@@ -21,8 +21,10 @@
 const UNRESPONSIVE_LATENCIES: f64 = 6.0;
 /// Mean length of a first ejection.
 const BASE_EJECTION_TIME: Micros = Micros(1_000_000);
-/// Least part of [`BASE_EJECTION_TIME`] that an ejection lasts, and how much more it may last: jitter.
-const EJECTION_JITTER: (f64, f64) = (0.75, 0.5);
+/// Least part of [`BASE_EJECTION_TIME`] that an ejection lasts.
+const LEAST_JITTER: f64 = 0.75;
+/// By how much that part varies at random.
+const JITTER_SPREAD: f64 = 0.5;
 /// Doublings of the ejection time at most: a backend that has recovered is back within some seconds.
 const MAX_EJECTION_DOUBLINGS: i32 = 3;
 /// With a larger part of the fleet ejected, ejected backends are used: then it is not they that fail.
@@ -39,17 +41,24 @@
     is_unreachable: bool,
     /// Ejections that no probation has cleared.
     ejections: i32,
-    /// Successes that are still needed to clear them.
+    /// Successes that are still needed to clear them; failures in between do not count.
     probation: u32,
+    /// From 0 (not to be used) to 1 (no errors of late).
+    factor: f64,
 }
 
 impl Health {
+    /// From 0 (not to be used) to 1 (no errors of late).
+    pub fn factor(&self) -> f64 {
+        self.factor
+    }
+
     /// Attempts are overdue, and nothing came back since.
     pub fn is_unresponsive(&self) -> bool {
         self.is_unresponsive
     }
 
-    /// It has answered something since then.
+    /// It has answered something after that time.
     pub fn has_responded_since(&self, time: Time) -> bool {
         self.last_response > time
     }
@@ -87,10 +96,10 @@
     }
 }
 
-/// Unresponsive backends; see [`Health`] for the rest.
+/// The backends that are marked as unresponsive, so that the marks can be taken back.
 #[derive(Default)]
-pub(super) struct OutlierDetection {
-    unresponsive: Vec<BackendId>,
+pub(super) struct UnresponsiveBackends {
+    marked: Vec<BackendId>,
 }
 
 /// An ejection that was carried out.
@@ -99,39 +108,39 @@
     pub outcome: Outcome,
 }
 
-impl OutlierDetection {
-    /// Takes in the outcome of an attempt, and ejects its backend where that calls for it.
-    pub fn record_outcome(
-        &self, fleet: &mut Fleet, now: Time, attempt: &InFlightAttempt, outcome: Outcome, random: &mut Random,
-    ) -> Option<Ejected> {
-        let health = &mut fleet.backends.get_mut(&attempt.backend)?.health;
-        health.record_reachability(outcome);
-        let ejects = match outcome {
-            Outcome::Success => {
-                health.record_success(now);
-                false
-            }
-            Outcome::Cancelled | Outcome::NotSent | Outcome::Rejected => false,
-            // A heavy request alone is no fault of its backend, which answered others meanwhile.
-            Outcome::TimedOut => health.last_response < attempt.sent_at,
-            Outcome::ErrorResponse | Outcome::ConnectionReset | Outcome::ConnectFailed => {
-                health.record_failure(now, outcome);
-                is_outlier(fleet, attempt.backend, outcome)
-            }
-        };
-        if !ejects {
-            return None;
+/// Takes in the outcome of an attempt, and ejects its backend where that calls for it.
+pub(super) fn record_outcome(
+    fleet: &mut Fleet, now: Time, attempt: &InFlightAttempt, outcome: Outcome, random: &mut Random,
+) -> Option<Ejected> {
+    let health = &mut fleet.backends.get_mut(&attempt.backend)?.health;
+    health.record_reachability(outcome);
+    let ejects = match outcome {
+        Outcome::Success => {
+            health.record_success(now);
+            false
         }
-        eject(fleet, now, attempt.backend, outcome, random)
+        Outcome::Cancelled | Outcome::NotSent | Outcome::Rejected => false,
+        // A heavy request alone is no fault of its backend, which answered others meanwhile.
+        Outcome::TimedOut => health.last_response < attempt.sent_at, // one at that very moment counts
+        Outcome::ErrorResponse | Outcome::ConnectionReset | Outcome::ConnectFailed => {
+            health.record_failure(now, outcome);
+            is_outlier(fleet, attempt.backend, outcome)
+        }
+    };
+    if !ejects {
+        return None;
     }
+    eject(fleet, now, attempt.backend, outcome, random)
+}
 
+impl UnresponsiveBackends {
     /// Marks the backends with attempts that are overdue. `typical` tells how long an attempt takes; the
     /// result is when to look again.
-    pub fn find_unresponsive<'a>(
+    pub fn update<'a>(
         &mut self, fleet: &mut Fleet, now: Time, attempts: impl Iterator<Item = &'a InFlightAttempt>,
         typical: impl Fn(&InFlightAttempt) -> Micros,
     ) -> Time {
-        for backend in std::mem::take(&mut self.unresponsive) {
+        for backend in std::mem::take(&mut self.marked) {
             if let Some(backend) = fleet.backends.get_mut(&backend) {
                 backend.health.is_unresponsive = false;
             }
@@ -146,9 +155,9 @@
             }
             next_look = next_look.min(now + typical);
             let Some(backend) = fleet.backends.get_mut(&attempt.backend) else { continue };
-            if backend.health.last_response <= attempt.sent_at {
+            if !backend.health.has_responded_since(attempt.sent_at) {
                 backend.health.is_unresponsive = true;
-                self.unresponsive.push(attempt.backend);
+                self.marked.push(attempt.backend);
             }
         }
         next_look
@@ -180,6 +189,7 @@
         }
     }
     let mean = total / f64::max(count, 1.0);
+    // Of an exponentially weighted mean of yes-or-no outcomes with this probability.
     let deviation = (mean * (1.0 - mean) * ERROR_RATE_WEIGHT / (2.0 - ERROR_RATE_WEIGHT)).sqrt();
     (mean + OUTLIER_DEVIATIONS * deviation).max(LEAST_EJECTION_ERROR_RATE)
 }
@@ -188,8 +198,7 @@
 fn eject(
     fleet: &mut Fleet, now: Time, id: BackendId, outcome: Outcome, random: &mut Random,
 ) -> Option<Ejected> {
-    let (least, spread) = EJECTION_JITTER;
-    let base_secs = BASE_EJECTION_TIME.secs() * (least + spread * random.unit());
+    let base_secs = BASE_EJECTION_TIME.secs() * (LEAST_JITTER + JITTER_SPREAD * random.unit());
     let backend = fleet.backends.get_mut(&id)?;
     let health = &mut backend.health;
     if health.ejected_until.is_some_and(|until| now < until) {
@@ -203,13 +212,14 @@
     Some(Ejected { backend: id, outcome })
 }
 
-/// Ends ejections whose time is over, and sets every backend's readiness as far as its health tells it.
-pub(super) fn update_readiness(fleet: &mut Fleet, now: Time) {
+/// Ends ejections whose time is over, and sets the factor of every backend's health.
+pub(super) fn update_health(fleet: &mut Fleet, now: Time) {
     let ejections = Ejections::count(fleet);
     for backend in fleet.backends.values_mut() {
         backend.health.end_ejection(now);
-        let health = &backend.health;
-        backend.readiness = if !backend.is_listed_ready() {
+        let is_listed_ready = backend.is_listed_ready();
+        let health = &mut backend.health;
+        health.factor = if !is_listed_ready {
             0.0
         } else if health.ejected_until.is_some() {
             f64::from(ejections.allow_use(health))
--- a/src/balancer/priority.rs
+++ b/src/balancer/priority.rs
@@ -1,11 +1,14 @@
-//! Priorities of classes: which request serves the operator's goal best for the work that it costs? The goal
-//! weighs the whole of the traffic against the class that is served worst.
+//! Priorities: which request serves the operator's goal best for the work that it costs? The goal weighs the
+//! whole of the traffic against the class that is served worst.
+//!
+//! A request is queued by its class's priority (goal for each unit of work) times its own relative value,
+//! which is 1 for an original request within quota and less past the quota or for a client's retry.
 
 use super::classes::{ClassTable, TrackedClass};
 use crate::config::Config;
+use crate::units::ClassId;
 
-/// First attempts past quota and client retries below this part of a full request's value have low priority:
-/// they find only a part of the capacity, the rest is kept for others.
+/// Requests of less relative value have low priority: they find only a part of the capacity.
 pub(super) const LOW_PRIORITY_BELOW: f64 = 0.5;
 /// Part of every concurrency limit that requests of low priority may use.
 pub(super) const LOW_PRIORITY_CAPACITY_FRACTION: f64 = 0.5;
@@ -30,7 +33,7 @@
         let worst_class_gain =
             if is_worst { config.worst_class_goal_weight / arrival_share(class) } else { 0.0 };
         let overall_gain = config.overall_goal_weight * class.terms.priority_weight / mean_weight;
-        (overall_gain + worst_class_gain) / classes.relative_work(index)
+        (overall_gain + worst_class_gain) / classes.relative_work(ClassId(index))
     };
     classes.all().iter().enumerate().map(priority).collect()
 }
--- a/src/balancer/reconfiguration.rs
+++ b/src/balancer/reconfiguration.rs
@@ -5,35 +5,35 @@
 use super::{shortest_objective, Balancer};
 use crate::action::LogEvent;
 use crate::config::ConfigUpdate;
-use crate::units::Time;
+use crate::units::{ClassId, Time};
 
 /// From the numbers of classes before a reconfiguration to those after it.
 pub(super) struct ClassMapping {
     /// Classes of the replaced configuration that nobody has taken over yet.
     replaced: Vec<Option<TrackedClass>>,
-    new_numbers: Vec<usize>,
+    new_numbers: Vec<ClassId>,
 }
 
 impl ClassMapping {
     pub fn new(replaced: Vec<TrackedClass>) -> ClassMapping {
-        let new_numbers = vec![0; replaced.len()];
+        let new_numbers = vec![ClassId(0); replaced.len()];
         ClassMapping { replaced: replaced.into_iter().map(Some).collect(), new_numbers }
     }
 
     /// No class of the new configuration has taken this one over.
-    pub fn is_unassigned(&self, old_number: usize) -> bool {
-        self.replaced.get(old_number).is_some_and(Option::is_some)
+    pub fn is_unassigned(&self, old_number: ClassId) -> bool {
+        self.replaced.get(old_number.0).is_some_and(Option::is_some)
     }
 
     /// Gives a class its new number and takes out what was learned of it; `None` where that was done before.
-    pub fn assign(&mut self, old_number: usize, new_number: usize) -> Option<TrackedClass> {
-        let learned = self.replaced.get_mut(old_number)?;
-        self.new_numbers[old_number] = new_number;
+    pub fn assign(&mut self, old_number: ClassId, new_number: ClassId) -> Option<TrackedClass> {
+        let learned = self.replaced.get_mut(old_number.0)?;
+        self.new_numbers[old_number.0] = new_number;
         learned.take()
     }
 
-    pub fn new_number(&self, old_number: usize) -> usize {
-        self.new_numbers[old_number]
+    pub fn new_number(&self, old_number: ClassId) -> ClassId {
+        self.new_numbers[old_number.0]
     }
 }
 
@@ -47,7 +47,7 @@
         self.replace_config(update);
         self.subscription.reconfigure(now, before, self.config.discovery);
         self.admission.reconfigure(&self.config);
-        self.wakeup.by(now);
+        self.wakeup.schedule(now);
         self.update_shares(now);
     }
 
--- a/src/balancer/request.rs
+++ b/src/balancer/request.rs
@@ -2,11 +2,11 @@
 
 use crate::backend::Backend;
 use crate::config::Class;
-use crate::units::{AttemptNumber, BackendId, Micros, RequestId, Time};
+use crate::units::{AttemptNumber, BackendId, ClassId, Micros, RequestId, Time};
 
 /// An attempt as its request remembers it, also after its end.
 pub(super) struct SentAttempt {
-    /// The backend as the list described it at the dispatch.
+    /// The backend as the endpoint list described it at the dispatch.
     pub backend: Backend,
     pub sent_at: Time,
     pub in_flight: bool,
@@ -17,16 +17,16 @@
 /// A request that is owed an answer.
 pub(super) struct Request {
     /// Number of its class under the configuration in force.
-    pub class: usize,
+    pub class: ClassId,
     /// Its class as it was on arrival: a later configuration neither makes a retry harmless nor forbids one.
     pub terms: Class,
     /// Attempts allowed on arrival.
     pub max_attempts: u32,
     pub arrived_at: Time,
-    /// When its latency objective is over.
-    pub objective: Time,
+    /// When its latency objective is over, extended by the work that its client expects.
+    pub objective_at: Time,
     pub deadline: Time,
-    /// Its worth beside that of a first attempt within quota, from 0 to 1.
+    /// Its value relative to an original request within quota, from 0 to 1; see `priority`.
     pub relative_value: f64,
     /// Its answer has begun to stream to the client.
     pub is_streaming: bool,
@@ -60,7 +60,7 @@
     /// The graceful shutdown allows no answer after `deadline`.
     pub fn shorten(&mut self, deadline: Time) {
         if self.deadline > deadline {
-            self.objective = self.objective.min(deadline);
+            self.objective_at = self.objective_at.min(deadline);
             self.deadline = deadline;
         }
     }
@@ -77,10 +77,11 @@
 pub(super) struct InFlightAttempt {
     pub backend: BackendId,
     /// Number of its class under the configuration in force.
-    pub class: usize,
-    /// The class's latency objective on arrival.
-    pub objective: Micros,
+    pub class: ClassId,
+    /// The latency objective of its class on arrival: what backends are judged by, whatever one client
+    /// expects.
+    pub class_objective: Micros,
     pub sent_at: Time,
-    /// It has counted as not prompt.
-    pub is_late: bool,
+    /// It has counted as a slow answer in admission control.
+    pub counted_as_slow: bool,
 }
--- a/src/balancer/request_completion.rs
+++ b/src/balancer/request_completion.rs
@@ -15,7 +15,7 @@
         for (&id, request) in self.requests.iter().filter(|(_, request)| !request.is_streaming) {
             let typical = typical_latency(&self.classes, request);
             let review = deadlines::review(&self.config, &self.fleet, now, request, typical);
-            self.wakeup.by(review.next);
+            self.wakeup.schedule(review.next);
             match review.finding {
                 Finding::Keep => {}
                 Finding::GiveUp => given_up.push(id),
--- a/src/balancer/request_queue.rs
+++ b/src/balancer/request_queue.rs
@@ -4,7 +4,7 @@
 use super::request::Request;
 use crate::units::{RequestId, Time};
 
-/// A retry precedes every first attempt for the capacity that is left.
+/// Above every value of a first attempt: a retry is never skipped because a first attempt found no capacity.
 const RETRY_VALUE: f64 = f64::MAX;
 
 /// A request in the order of dispatch.
@@ -50,7 +50,8 @@
         self.blocked_below = 0.0;
     }
 
-    /// Nothing can be dispatched before the next event that frees capacity.
+    /// Nothing waits, or nothing can be dispatched, retries included, before the next event that frees
+    /// capacity.
     pub fn is_idle(&self) -> bool {
         self.waiting.is_empty() || self.blocked_below == f64::MAX
     }
@@ -66,7 +67,7 @@
         queued.value < self.blocked_below
     }
 
-    /// Takes out all requests that wait and still exist.
+    /// Takes out all requests that wait, some of which may have been closed.
     pub fn take_all(&mut self) -> Vec<RequestId> {
         std::mem::take(&mut self.waiting)
     }
@@ -75,7 +76,7 @@
 impl Queued {
     pub fn new(id: RequestId, request: &Request, class_priorities: &[f64]) -> Queued {
         let value = if request.is_unsent() { request.relative_value } else { RETRY_VALUE };
-        let priority = class_priorities[request.class] * request.relative_value;
+        let priority = class_priorities[request.class.0] * request.relative_value;
         Queued { request: id, priority, arrived_at: request.arrived_at, value }
     }
 
--- a/src/balancer/rotation.rs
+++ b/src/balancer/rotation.rs
@@ -1,4 +1,9 @@
-//! Turns among the proxies of a fleet, which share nothing: each knows its place in them by its index alone.
+//! Turns among the proxies of a fleet, which share nothing: each knows its place in the order by its index
+//! alone.
+//!
+//! The order moves on by one place each term of the host's clock. Where the hosts' clocks have one origin
+//! (Unix time in the proxy), the places of all proxies differ at every moment; else each has every place as
+//! often.
 
 use crate::config::Config;
 use crate::units::{BackendId, Micros, Time};
@@ -12,11 +17,15 @@
 
 impl Rotation {
     pub fn new(config: &Config, term: Micros) -> Rotation {
-        let (proxy_count, proxy_index) = (u64::from(config.proxy_count), u64::from(config.proxy_index));
-        Rotation { proxy_count, proxy_index, term }
+        Rotation {
+            proxy_count: u64::from(config.proxy_count),
+            proxy_index: u64::from(config.proxy_index),
+            term,
+        }
     }
 
-    /// This proxy's place for a backend, from 0 to 1, evenly spaced over the proxies.
+    /// This proxy's place for a backend, from 0 to 1, evenly spaced over the proxies; another order for each
+    /// backend.
     pub fn position(&self, backend: BackendId, now: Time) -> f64 {
         let terms_passed = now.0 / self.term.0.max(1);
         let place = backend.0.wrapping_add(self.proxy_index).wrapping_add(terms_passed) % self.proxy_count;
--- a/src/balancer/selection.rs
+++ b/src/balancer/selection.rs
@@ -1,6 +1,6 @@
-//! Selection: which backend does one attempt go to? A kind is drawn by its share, then a backend of it; one
-//! that is full, unresponsive or not allowed is drawn again rather than overfilled, which would slow it for
-//! long.
+//! Selection: which backend does one attempt go to? A kind is drawn by its allocated share, then a backend of
+//! it; one that is full, unresponsive or not allowed is drawn again rather than overfilled, which would slow
+//! it for long.
 
 use super::classes::ClassTable;
 use super::concurrency_limit::ProxyLimit;
@@ -26,7 +26,8 @@
 }
 
 impl Selection<'_> {
-    /// A backend for the next attempt of the request; `None` where none has capacity.
+    /// A backend for the next attempt of the request; `None` where none has capacity. A retry, which few
+    /// backends may be allowed to execute, chooses among those at once.
     pub fn pick(&self, request: &Request, random: &mut Random) -> Option<BackendId> {
         if !self.proxy_limit.allows(self.in_flight, is_low_priority(request.relative_value)) {
             return None;
@@ -70,7 +71,7 @@
             return false;
         }
         let limit = backend.concurrency.own(is_low_priority(request.relative_value));
-        f64::from(backend.in_flight) < limit && self.is_allowed(backend, request)
+        f64::from(backend.in_flight()) < limit && self.is_allowed(backend, request)
     }
 
     /// Whether the rules let the backend have the request: its state, duplicate effects, slow start.
--- a/src/balancer/share_update.rs
+++ b/src/balancer/share_update.rs
@@ -18,56 +18,60 @@
         let elapsed_secs = (now - self.updated_at).secs();
         self.updated_at = now;
         self.queue.unblock();
-        outlier_detection::update_readiness(&mut self.fleet, now);
-        self.sum_readiness(now);
-        self.arrival_rate.add(now, 0.0);
-        let rate = self.arrival_rate.per_second();
-        let fleet_rate = rate.map(|rate| rate * f64::from(self.config.proxy_count));
+        outlier_detection::update_health(&mut self.fleet, now);
+        self.update_readiness(now);
+        self.admitted_rate.add(now, 0.0);
+        let proxy_rate = self.admitted_rate.per_second();
+        let fleet_rate = proxy_rate.map(|rate| rate * f64::from(self.config.proxy_count));
         speed_estimation::update_speeds(&mut self.fleet, elapsed_secs, fleet_rate, self.update_interval);
         self.update_kind_shares(fleet_rate.filter(|_| self.classes.has_latency()));
-        subset::place_windows(&self.config, now, &mut self.fleet);
+        subset::place_subsets(&self.config, now, &mut self.fleet);
         traffic_allocation::allocate(
             &self.config,
             now,
             &mut self.fleet,
-            rate,
+            proxy_rate,
             self.classes.expected_work_secs(),
             &mut self.proxy_limit,
         );
     }
 
-    /// Lowers the readiness of warming and overloaded backends, and sums it up by kind.
-    fn sum_readiness(&mut self, now: Time) {
+    /// Sets the readiness of every backend, and sums it up by kind.
+    fn update_readiness(&mut self, now: Time) {
         for kind in self.fleet.kinds.values_mut() {
-            kind.readiness = 0.0;
-            kind.listed = 0.0;
+            kind.ready_backends = 0.0;
+            kind.listed_backends = 0.0;
         }
         for backend in self.fleet.backends.values_mut() {
             let kind = self.fleet.kinds.entry(backend.record.kind).or_default();
-            kind.listed += f64::from(backend.is_listed_ready());
+            kind.listed_backends += f64::from(backend.is_listed_ready());
             kind.idle_weight = kind.idle_weight.max(backend.record.weight);
-            backend.readiness = backend.readiness
+            backend.readiness = backend.health.factor()
                 * warm_fraction(&self.config, now, &backend.record, LIKELY_DURATION_FRACTION)
                 * reported_load_factor(&self.config, &backend.record, kind.idle_weight);
-            kind.readiness += backend.readiness;
+            kind.ready_backends += backend.readiness;
         }
     }
 
     fn update_kind_shares(&mut self, fleet_rate: Option<f64>) {
         let kinds = self.fleet.kinds.values();
         let capacities: Vec<KindCapacity> = kinds
-            .map(|kind| KindCapacity { backends: kind.readiness, speed: kind.speed.requests_per_second() })
+            .map(|kind| KindCapacity {
+                backends: kind.ready_backends,
+                speed: kind.speed.requests_per_second(),
+            })
             .collect();
         let shares = halb_shares(&capacities, fleet_rate);
         for (kind, share) in self.fleet.kinds.values_mut().zip(shares) {
-            kind.share = share;
+            kind.fleet_share = share;
         }
     }
 }
 
-/// Where list weights report load, the part of its equal share that a loaded backend keeps: all of it up to
-/// half of the usual concurrency, then little, so that slow ones empty. A lightly loaded one gains nothing:
-/// all proxies see the same late reports and would send to the lightest together.
+/// Where list weights report load, the part of its equal share that a loaded backend keeps. The weight of an
+/// idle backend falls to 1 / (1 + requests in flight for each core). Up to half of the usual number in flight
+/// it keeps all; past that its part falls with the square, so that slow ones empty. A lightly loaded one
+/// gains nothing: all proxies see the same late reports and would send to the lightest together.
 fn reported_load_factor(config: &Config, record: &Backend, idle_weight: f64) -> f64 {
     if !config.live_weights {
         return 1.0;
--- a/src/balancer/slow_start.rs
+++ b/src/balancer/slow_start.rs
@@ -11,15 +11,19 @@
 /// Part of the longest slow start that a backend likely needs: the configured time is the bound over all
 /// kinds.
 pub(super) const LIKELY_DURATION_FRACTION: f64 = 0.7;
-/// Chance that the platform allows beyond N requests of mean work: so many roots of N, and so many requests
-/// more.
+/// A warming backend that can bear n requests in an overload window bears n + 2 x sqrt(n) + 2: the platform
+/// allows for the random variation of arrivals.
 const ALLOWED_ROOTS: f64 = 2.0;
+/// See [`ALLOWED_ROOTS`].
 const ALLOWED_REQUESTS: f64 = 2.0;
-/// Standard deviations by which the mean traffic of all proxies stays under the limit.
+/// Standard deviations by which the mean number of requests in a window stays under the limit.
 const TRAFFIC_DEVIATIONS: f64 = 3.0;
 /// Part of the limit that the proxies share out; the rest is for heavy requests and unequal subsets.
 const SHARED_FRACTION: f64 = 0.8;
 
+/// Requests a second that a proxy is taken to have while its rate is not known, for what a backend can bear.
+const UNKNOWN_RATE_PER_SECOND: f64 = 1.0;
+
 /// Part of its capacity that a backend has if it needs `duration_fraction` of the longest slow start.
 pub(super) fn warm_fraction(config: &Config, now: Time, backend: &Backend, duration_fraction: f64) -> f64 {
     let duration_secs = (config.slow_start_duration.secs() * duration_fraction).max(1e-6);
@@ -28,10 +32,11 @@
     initial + (1.0 - initial) * progress.min(1.0)
 }
 
-/// Work sent to a backend at one time, beside the mean work of a request.
+/// A request sent to a backend.
 struct SentWork {
     sent_at: Time,
-    work: f64,
+    /// Its work relative to that of a mean request.
+    relative_work: f64,
 }
 
 /// Work that this proxy sent to a backend inside the overload window.
@@ -42,13 +47,13 @@
 
 impl RecentWork {
     /// Counts a dispatched request.
-    pub fn record(&mut self, config: &Config, now: Time, work: f64) {
+    pub fn record(&mut self, config: &Config, now: Time, relative_work: f64) {
         self.sent.retain(|sent| now - sent.sent_at < config.overload_window);
-        self.sent.push(SentWork { sent_at: now, work });
+        self.sent.push(SentWork { sent_at: now, relative_work });
     }
 
     fn within(&self, now: Time, window: Micros) -> f64 {
-        self.sent.iter().filter(|sent| now - sent.sent_at < window).map(|sent| sent.work).sum()
+        self.sent.iter().filter(|sent| now - sent.sent_at < window).map(|sent| sent.relative_work).sum()
     }
 
     fn last_sent_at(&self) -> Option<Time> {
@@ -61,8 +66,8 @@
     pub config: &'a Config,
     pub fleet: &'a Fleet,
     pub now: Time,
-    /// Admitted requests a second at this proxy.
-    pub arrival_rate: Option<f64>,
+    /// Admitted requests a second at this proxy; `None` while it is not known.
+    pub proxy_rate: Option<f64>,
 }
 
 impl SlowStart<'_> {
@@ -74,7 +79,7 @@
         if warm >= 1.0 {
             return f64::INFINITY;
         }
-        let fleet_rate = self.arrival_rate.unwrap_or(1.0) * f64::from(config.proxy_count);
+        let fleet_rate = self.proxy_rate.unwrap_or(UNKNOWN_RATE_PER_SECOND) * f64::from(config.proxy_count);
         let even_rate = fleet_rate / self.fleet.backends.len() as f64;
         // What its kind carried before tells what it can do. The flow of the moment does not where few are
         // ready: it is the one to be bounded.
@@ -86,45 +91,46 @@
 
     /// The greatest part of the fleet's traffic that stays under the limit: the number in a window varies by
     /// the root of its mean, and mean + [`TRAFFIC_DEVIATIONS`] x root of mean is the limit.
-    pub fn max_traffic_share(&self, backend: &TrackedBackend) -> f64 {
+    pub fn max_fleet_share(&self, backend: &TrackedBackend) -> f64 {
         let limit = self.window_limit(backend);
         let root =
             ((TRAFFIC_DEVIATIONS * TRAFFIC_DEVIATIONS + 4.0 * limit).sqrt() - TRAFFIC_DEVIATIONS) / 2.0;
-        let fleet_rate = self.arrival_rate.unwrap_or(0.0) * f64::from(self.config.proxy_count);
+        let fleet_rate = self.proxy_rate.unwrap_or(0.0) * f64::from(self.config.proxy_count);
         root * root / (fleet_rate * self.config.overload_window.secs()).max(1e-9)
     }
 
-    /// Whether this proxy's part of the limit allows a request of that much work.
-    pub fn admits(&self, backend: &TrackedBackend, work: f64) -> bool {
+    /// Whether this proxy's part of the limit allows a request of that work, relative to a mean request.
+    pub fn admits(&self, backend: &TrackedBackend, relative_work: f64) -> bool {
         let limit = self.window_limit(backend);
         if limit == f64::INFINITY {
             return true;
         }
-        let own_requests = limit * SHARED_FRACTION / backend.coverage.users().max(1.0) / work;
+        let own_requests = limit * SHARED_FRACTION / backend.coverage.users().max(1.0) / relative_work;
         if own_requests < 1.0 {
             self.admits_one_in_several_windows(backend, own_requests)
         } else {
-            self.admits_in_window(backend, own_requests, work)
+            self.admits_in_window(backend, own_requests, relative_work)
         }
     }
 
-    /// Where one request of each proxy in a window is too many, each sends one in several windows, the first
-    /// ones in turn.
+    /// Where this proxy's part is less than one request, it sends one in several windows. The proxies' first
+    /// ones are spread over the first interval after the backend's start.
     fn admits_one_in_several_windows(&self, backend: &TrackedBackend, own_requests: f64) -> bool {
         let interval = self.config.overload_window.times(1.0 / own_requests);
+        // One fixed place for each proxy: the order does not move on.
         let turn = Rotation::new(self.config, interval).position(backend.record.id, Time(0));
         let first = interval.times(turn);
         let is_rested = backend.recent_work.last_sent_at().is_none_or(|last| self.now - last >= interval);
         is_rested && backend.record.started_at.is_none_or(|start| self.now >= start + first)
     }
 
-    /// Whole requests are allowed in each window. What is left of one goes round by turns: any window touches
-    /// two of them, so that half as many proxies have theirs.
-    fn admits_in_window(&self, backend: &TrackedBackend, own_requests: f64, work: f64) -> bool {
+    /// Every proxy may send the whole requests of its part in each window. The fraction f that is left goes
+    /// round: any window overlaps two turns, so that f / 2 of the proxies may send one more in each turn.
+    fn admits_in_window(&self, backend: &TrackedBackend, own_requests: f64, relative_work: f64) -> bool {
         let window = self.config.overload_window;
         let turn = Rotation::new(self.config, window).position(backend.record.id, self.now);
         let extra = f64::from(turn < own_requests.fract() / 2.0);
         let sent = backend.recent_work.within(self.now, window);
-        sent / work + 1.0 <= own_requests.floor() + extra
+        sent / relative_work + 1.0 <= own_requests.floor() + extra
     }
 }
--- a/src/balancer/speed_estimation.rs
+++ b/src/balancer/speed_estimation.rs
@@ -1,5 +1,6 @@
-//! How many requests a second can one backend of a kind serve? Estimated from the latency of served requests
-//! and the traffic that the kind receives, as the design gives it: 1 / latency + flow.
+//! Speed estimation: how many requests a second can one backend of a kind serve? A backend that shares its
+//! processor among its requests answers in T = 1 / (speed - flow) on average, flow being the requests a
+//! second that it receives; so its speed is 1 / T + flow, with T the mean latency of served requests.
 
 use super::classes::MEAN_WINDOW;
 use super::fleet::Fleet;
@@ -14,7 +15,7 @@
 /// Answers before a kind's mean latency counts.
 const LEAST_SAMPLES: f64 = 10.0;
 /// Part of the shortest latency objective that an unloaded answer is taken to need until answers tell: with
-/// more the objective could hardly be kept.
+/// more the objective could hardly be kept, whatever the balancer does.
 const UNLOADED_PRIOR_FRACTION: f64 = 0.5;
 /// Rise of an unloaded latency towards the measured one, for each second.
 const UNLOADED_RISE_PER_SECOND: f64 = 0.03;
@@ -39,8 +40,10 @@
 
 /// A kind's part of the traffic and the state of its backends.
 struct KindLoad {
-    readiness: f64,
-    listed: f64,
+    /// Backends that can be used, by their readiness.
+    ready_backends: f64,
+    /// Backends that the list allows requests to.
+    listed_backends: f64,
     /// Requests a second for each ready backend.
     flow: f64,
 }
@@ -51,6 +54,10 @@
         self.speed
     }
 
+    fn is_known(&self) -> bool {
+        self.speed > 0.0
+    }
+
     /// Mean latency of an unloaded backend, in seconds.
     pub fn unloaded_secs(&self) -> Option<f64> {
         self.unloaded_secs
@@ -71,7 +78,7 @@
     fn update(&mut self, load: &KindLoad, elapsed_secs: f64, latency_prior_secs: f64) {
         self.update_unloaded(elapsed_secs, latency_prior_secs);
         let weight = (elapsed_secs / SPEED_MEMORY.secs()).min(1.0);
-        if load.readiness > load.listed * REPRESENTATIVE_FRACTION {
+        if load.ready_backends > load.listed_backends * REPRESENTATIVE_FRACTION {
             self.carried += (load.flow - self.carried) * weight;
         }
         // Smoothed: the flow is this proxy's own view. Unsmoothed, a kind with a large share looks ever
@@ -92,24 +99,25 @@
 
 /// Updates the speed of every kind. A kind without data counts as fast as the mean of the others.
 pub(super) fn update_speeds(
-    fleet: &mut Fleet, elapsed_secs: f64, arrival_rate: Option<f64>, shortest_objective: Micros,
+    fleet: &mut Fleet, elapsed_secs: f64, fleet_rate: Option<f64>, shortest_objective: Micros,
 ) {
     let latency_prior_secs = shortest_objective.secs() * UNLOADED_PRIOR_FRACTION;
     for kind in fleet.kinds.values_mut() {
-        let rate = arrival_rate.unwrap_or(0.0);
-        let flow = if kind.readiness > 0.0 { rate * kind.share / kind.readiness } else { 0.0 };
-        let load = KindLoad { readiness: kind.readiness, listed: kind.listed, flow };
+        let ready_backends = kind.ready_backends;
+        let kind_rate = fleet_rate.unwrap_or(0.0) * kind.fleet_share;
+        let flow = if ready_backends > 0.0 { kind_rate / ready_backends } else { 0.0 };
+        let load = KindLoad { ready_backends, listed_backends: kind.listed_backends, flow };
         kind.speed.update(&load, elapsed_secs, latency_prior_secs);
     }
     let mean = mean_known_speed(fleet);
-    for kind in fleet.kinds.values_mut().filter(|kind| kind.speed.speed == 0.0) {
+    for kind in fleet.kinds.values_mut().filter(|kind| !kind.speed.is_known()) {
         kind.speed.speed = mean;
     }
 }
 
 fn mean_known_speed(fleet: &Fleet) -> f64 {
     let (mut total, mut count) = (0.0, 0.0);
-    for kind in fleet.kinds.values().filter(|kind| kind.speed.speed > 0.0) {
+    for kind in fleet.kinds.values().filter(|kind| kind.speed.is_known()) {
         total += kind.speed.speed;
         count += 1.0;
     }
--- a/src/balancer/subscription.rs
+++ b/src/balancer/subscription.rs
@@ -9,8 +9,9 @@
 
 /// Time that each proxy of the fleet adds to the span over which the first calls after a loss are spread.
 const SPREAD_PER_PROXY: Micros = Micros(50_000);
-/// Longest wait before a call after a loss. A proxy counts as notified 6 s after discovery has returned; the
-/// other half is for the queue at discovery, the answer, and a second call where one is refused.
+/// Longest wait before a call after a loss. The platform counts a proxy as notified 6 s after discovery can
+/// be reached again; the other half is for the queue at discovery, its answer, and a second call where one is
+/// rejected.
 const MAX_WAIT: Micros = Micros(3_000_000);
 /// Part of the poll interval that a wait is at most, however short that is.
 const MAX_WAIT_FRACTION: f64 = 1.0 / 2.0;
--- a/src/balancer/traffic_allocation.rs
+++ b/src/balancer/traffic_allocation.rs
@@ -5,7 +5,7 @@
 use super::fleet::{Fleet, TrackedBackend, TrackedKind};
 use super::rotation::Rotation;
 use super::slow_start::SlowStart;
-use super::zone_preference::{fair_share, ZonePreference};
+use super::zone_preference::ZonePreference;
 use crate::config::Config;
 use crate::units::{BackendId, Micros, Time};
 
@@ -13,6 +13,8 @@
 const CONCURRENCY_TERM: Micros = Micros(5_000_000);
 /// Share that every usable backend has: it takes the overflow where all others are at their limits.
 const TRACE_SHARE: f64 = 1e-6;
+/// Guards divisions by the coverage of a backend.
+const LEAST_COVERAGE: f64 = 1e-6;
 
 /// Draws a backend of one kind in proportion to the traffic shares.
 #[derive(Default)]
@@ -50,18 +52,21 @@
     }
 }
 
-/// What all proxies, and this one's turn, allow a backend.
+/// What a backend may receive.
 struct Bounds {
+    /// Part of the traffic of all proxies that it is to receive.
     fair_share: f64,
-    max_share: f64,
+    /// Part of the traffic of all proxies that its slow start allows.
+    max_fleet_share: f64,
+    /// This proxy's turn, from 0 to 1.
     concurrency_turn: f64,
 }
 
 impl Bounds {
     fn of(slow_start: &SlowStart, rotation: &Rotation, backend: &TrackedBackend) -> Bounds {
         Bounds {
-            fair_share: fair_share(slow_start.fleet, backend),
-            max_share: slow_start.max_traffic_share(backend),
+            fair_share: slow_start.fleet.fair_share(backend),
+            max_fleet_share: slow_start.max_fleet_share(backend),
             concurrency_turn: rotation.position(backend.record.id, slow_start.now),
         }
     }
@@ -69,8 +74,8 @@
 
 /// Sets every backend's traffic share and concurrency limit, and the limit of this proxy.
 pub(super) fn allocate(
-    config: &Config, now: Time, fleet: &mut Fleet, arrival_rate: Option<f64>,
-    expected_work_secs: Option<f64>, proxy_limit: &mut ProxyLimit,
+    config: &Config, now: Time, fleet: &mut Fleet, proxy_rate: Option<f64>, expected_work_secs: Option<f64>,
+    proxy_limit: &mut ProxyLimit,
 ) {
     let fleet_limit =
         |backend: &TrackedBackend| backend.concurrency.fleet_limit(backend.readiness, expected_work_secs);
@@ -78,7 +83,7 @@
     proxy_limit.update(fleet.backends.values().map(fleet_limit).sum(), proxy_count);
     let zones = ZonePreference::new(config, fleet);
     let rotation = Rotation::new(config, CONCURRENCY_TERM);
-    let slow_start = SlowStart { config, fleet, now, arrival_rate };
+    let slow_start = SlowStart { config, fleet, now, proxy_rate };
     let bounds: Vec<Bounds> =
         fleet.backends.values().map(|backend| Bounds::of(&slow_start, &rotation, backend)).collect();
     fleet.kinds.values_mut().for_each(|kind| kind.picks.clear());
@@ -94,12 +99,16 @@
     }
 }
 
+/// The part of this proxy's traffic for a backend: its fair share, by zone preference, times what a backend
+/// of the subset takes over from those outside it. At most this proxy's part of what slow start allows all
+/// proxies: each one's part is in proportion to how much of the backend its subset covers.
 fn traffic_share(
     backend: &TrackedBackend, kind: &TrackedKind, zone_factor: f64, proxy_count: f64, bounds: &Bounds,
 ) -> f64 {
     let coverage = &backend.coverage;
-    let wanted = bounds.fair_share * zone_factor * coverage.own() * kind.subset.gain();
+    let wanted = bounds.fair_share * zone_factor * coverage.own() * kind.subset.share_multiplier();
     let wanted = wanted + backend.readiness * TRACE_SHARE;
-    let (own, total) = (coverage.own().max(TRACE_SHARE), coverage.total().max(TRACE_SHARE));
-    wanted.min(bounds.max_share * own * proxy_count / total)
+    let own = coverage.own().max(LEAST_COVERAGE);
+    let total = coverage.total().max(LEAST_COVERAGE);
+    wanted.min(bounds.max_fleet_share * own * proxy_count / total)
 }
--- a/src/balancer/wakeup.rs
+++ b/src/balancer/wakeup.rs
@@ -16,12 +16,12 @@
         Wakeup { due: Time(0), token: TimerToken(0), pending: None }
     }
 
-    /// Something is due at that time at the latest.
-    pub fn by(&mut self, at: Time) {
+    /// Schedules a wake-up at that time or sooner.
+    pub fn schedule(&mut self, at: Time) {
         self.due = self.due.min(at);
     }
 
-    /// Whether something is due; what remains so has to be named again.
+    /// Whether a wake-up is due now. It clears the schedule: every rule that still waits schedules again.
     pub fn take_due(&mut self, now: Time) -> bool {
         let is_due = now >= self.due;
         if is_due {
--- a/src/balancer/zone_preference.rs
+++ b/src/balancer/zone_preference.rs
@@ -1,59 +1,57 @@
-//! Zone-aware routing: where crossing zones costs, traffic stays in its zone as far as all proxies together
-//! still give every backend the same part. A zone whose backends are due less than its proxies bring sends
-//! its surplus to the zones that are due more.
+//! Zone-aware routing: how much of its traffic can a proxy keep in its zone, where crossing zones costs,
+//! while all proxies together still give every backend its fair share? Every zone is taken to have an equal
+//! part of the proxies' traffic; a zone whose backends have a smaller fair share than that sends the rest to
+//! the zones whose backends have a larger one.
 
-use super::fleet::{Fleet, TrackedBackend};
+use super::fleet::Fleet;
 use crate::config::Config;
 use crate::units::ZoneId;
 use std::collections::BTreeMap;
 
-/// Guards a division by a zone's share.
-const LEAST_SHARE: f64 = 1e-9;
+/// Guards divisions by a share.
+const EPSILON: f64 = 1e-9;
 
-/// The part of all traffic that a backend is due.
-pub(super) fn fair_share(fleet: &Fleet, backend: &TrackedBackend) -> f64 {
-    let of_kind = |readiness: f64, share: f64| share * backend.readiness / readiness.max(LEAST_SHARE);
-    fleet.kind_of(backend).map_or(0.0, |kind| of_kind(kind.readiness, kind.share))
-}
-
-/// How much more of its due a zone receives from this proxy.
+/// How many times its fair share a zone receives from this proxy.
 pub(super) struct ZonePreference {
     factors: BTreeMap<ZoneId, f64>,
 }
 
 impl ZonePreference {
-    /// The preference of this proxy. Subsets contain too few backends of a zone for one.
+    /// No zone is preferred where crossing zones costs nothing, or where a subset contains too few backends
+    /// of each zone.
     pub fn new(config: &Config, fleet: &Fleet) -> ZonePreference {
         let has_subsets = fleet.kinds.values().any(|kind| !kind.subset.is_everything());
         if config.cross_zone_cost <= 0.0 || has_subsets {
             return ZonePreference { factors: BTreeMap::new() };
         }
-        let mut due: BTreeMap<ZoneId, f64> = BTreeMap::new();
+        let mut fair_shares: BTreeMap<ZoneId, f64> = BTreeMap::new();
         for backend in fleet.backends.values().filter(|backend| backend.readiness > 0.0) {
-            *due.entry(backend.record.zone).or_default() += fair_share(fleet, backend);
+            *fair_shares.entry(backend.record.zone).or_default() += fleet.fair_share(backend);
         }
-        ZonePreference { factors: factors(config.local_zone, due) }
+        ZonePreference { factors: factors(config.local_zone, fair_shares) }
     }
 
-    /// The factor of a zone; 1 where it has none.
+    /// The factor of a zone; 1 without a preference.
     pub fn factor(&self, zone: ZoneId) -> f64 {
         self.factors.get(&zone).copied().unwrap_or(1.0)
     }
 }
 
-fn factors(local_zone: ZoneId, due: BTreeMap<ZoneId, f64>) -> BTreeMap<ZoneId, f64> {
-    let zones = due.len() as f64;
-    let total_shortage: f64 = due.values().map(|share| (share * zones - 1.0).max(0.0)).sum();
-    let local = due.get(&local_zone).copied().unwrap_or(0.0);
-    let local_surplus = (1.0 - local * zones).max(0.0);
+/// Parts of this proxy's traffic are held against the fair shares. `share * zones` compares a zone's fair
+/// share with the equal part of the traffic that arrives in each zone.
+fn factors(local_zone: ZoneId, fair_shares: BTreeMap<ZoneId, f64>) -> BTreeMap<ZoneId, f64> {
+    let zones = fair_shares.len() as f64;
+    let spare_capacity: f64 = fair_shares.values().map(|share| (share * zones - 1.0).max(0.0)).sum();
+    let local = fair_shares.get(&local_zone).copied().unwrap_or(0.0);
+    let local_excess = (1.0 - local * zones).max(0.0);
     let factor = |(zone, share): (ZoneId, f64)| {
-        let share = share.max(LEAST_SHARE);
+        let share = share.max(EPSILON);
         let traffic = if zone == local_zone {
             (local * zones).min(1.0)
         } else {
-            local_surplus * (share * zones - 1.0).max(0.0) / total_shortage.max(LEAST_SHARE)
+            local_excess * (share * zones - 1.0).max(0.0) / spare_capacity.max(EPSILON)
         };
         (zone, traffic / share)
     };
-    due.into_iter().map(factor).collect()
+    fair_shares.into_iter().map(factor).collect()
 }
--- a/src/bin/load-balancer-proxy/dispatcher/backend_table.rs
+++ b/src/bin/load-balancer-proxy/dispatcher/backend_table.rs
@@ -30,8 +30,8 @@
 
     /// Applies an endpoint list and returns its entries for the balancer.
     pub fn apply(&mut self, update: EndpointListUpdate, targets: Vec<Target>) -> Vec<Backend> {
-        let is_complete = matches!(update, EndpointListUpdate::Snapshot | EndpointListUpdate::Cached);
-        let mut unnamed = if is_complete { std::mem::take(&mut self.upstreams) } else { HashMap::new() };
+        let mut unnamed =
+            if update.is_complete() { std::mem::take(&mut self.upstreams) } else { HashMap::new() };
         let mut entries = Vec::with_capacity(targets.len());
         for target in targets {
             let id = target.backend.id;
@@ -78,6 +78,7 @@
     }
 }
 
+/// A process at another address shares no connection either, though to the balancer it is the same backend.
 fn is_same_process(known: &Target, target: &Target) -> bool {
     known.address == target.address && known.backend.started_at == target.backend.started_at
 }
--- a/src/config.rs
+++ b/src/config.rs
@@ -22,7 +22,7 @@
     pub overall_goal_weight: f64,
     /// What the operator's goal puts on the class that is served worst, from 0 to 1.
     pub worst_class_goal_weight: f64,
-    /// What it costs the goal when every request crosses zones once.
+    /// What it costs the goal when every request crosses zones once; only whether it is above 0 counts.
     pub cross_zone_cost: f64,
     /// Where the endpoint list comes from.
     pub discovery: DiscoveryMode,
@@ -189,8 +189,8 @@
 pub enum DiscoveryMode {
     /// Changes arrive unasked.
     Push,
-    /// Changes arrive after [`Action::Resubscribe`](crate::Action::Resubscribe); a proxy that does not call
-    /// counts as notified after this time.
+    /// Changes arrive after [`Action::Resubscribe`](crate::Action::Resubscribe). The poll interval: a proxy
+    /// that has not called for this long counts as notified of every change.
     Subscribe(Micros),
 }
 
--- a/src/estimators/token_bucket.rs
+++ b/src/estimators/token_bucket.rs
@@ -1,9 +1,12 @@
 //! A token bucket.
 
 use super::RATE_MEMORY;
-use crate::units::Time;
+use crate::units::{Micros, Time};
 
-/// Starts full and holds what its rate yields in [`RATE_MEMORY`], at least one token.
+/// What a bucket holds at most, in time at its rate.
+const BURST: Micros = RATE_MEMORY;
+
+/// Starts full and holds what its rate yields in [`BURST`], at least one token.
 #[derive(Default)]
 pub(crate) struct TokenBucket {
     tokens: f64,
@@ -14,7 +17,7 @@
     /// Takes a token if there is one; `rate` is its refill in tokens a second.
     pub fn take(&mut self, now: Time, rate: f64) -> bool {
         let elapsed = self.filled_at.map_or(f64::MAX, |at| (now - at).secs());
-        let capacity = (rate * RATE_MEMORY.secs()).max(1.0);
+        let capacity = (rate * BURST.secs()).max(1.0);
         self.tokens = (self.tokens + rate * elapsed).min(capacity);
         self.filled_at = Some(now);
         if self.tokens < 1.0 {
--- a/src/event.rs
+++ b/src/event.rs
@@ -20,7 +20,8 @@
     /// keep the terms that they came with. One that does not [validate](crate::Config::validate) changes
     /// nothing.
     ConfigReplaced(Box<ConfigUpdate>),
-    /// The answer has begun to stream: the attempt is the client's now and no time-out runs.
+    /// The answer has begun to stream: the attempt is the client's now and no time-out runs. Only hosts that
+    /// forward answers before their end report it.
     ResponseStarted {
         /// The request.
         request: RequestId,
@@ -29,7 +30,7 @@
     },
     /// An attempt ended.
     AttemptEnded(AttemptResult),
-    /// The client left; no answer is owed.
+    /// The client left, or the host answered it without the balancer: no answer is owed.
     ClientDisconnected {
         /// The request.
         request: RequestId,
@@ -89,7 +90,7 @@
     Rejected,
     /// No answer in time; it may have been executed or still be.
     TimedOut,
-    /// No connection was made.
+    /// No connection was made, or it broke before the request was written whole: never executed.
     ConnectFailed,
     /// The connection broke; it may have been executed.
     ConnectionReset,
