--- a/src/bin/load-balancer-proxy/main.rs
+++ b/src/bin/load-balancer-proxy/main.rs
@@ -1,13 +1,10 @@
 //! The HTTP proxy: start-up, signals and exit codes. Every decision is the library's.
 #![forbid(unsafe_code)]
 
-mod client_connection;
-mod client_socket;
 mod clock;
 mod config;
 mod dispatcher;
 mod headers;
-mod listener;
 mod messages;
 mod reload;
 mod server;
@@ -21,7 +18,7 @@
 use load_balancer::net::failures;
 use messages::DispatcherMessage;
 use stall_detector::StallDetector;
-use std::cell::{Cell, RefCell};
+use std::cell::Cell;
 use std::io;
 use std::net::SocketAddr;
 use std::process::ExitCode;
@@ -90,18 +87,9 @@
     let settings = &config.settings;
     let pool =
         Rc::new(upstream::ConnectionPool::new(clock, settings.dial_timeout, settings.conn_idle, backends));
-    let server = Rc::new(server::Server {
-        clock,
-        stall_detector,
-        settings: RefCell::new(settings.clone()),
-        most: clients,
-        inputs: sender.clone(),
-        status: status.clone(),
-        next: Cell::new(0),
-        stopping: Cell::new(false),
-        connections: RefCell::default(),
-        freed: Notify::new(),
-    });
+    let handles =
+        server::ServerHandles { clock, stall_detector, dispatcher: sender.clone(), status: status.clone() };
+    let server = Rc::new(server::Server::new(handles, settings.clone(), clients));
     let (moved, address) = watch::channel(config.discovery);
     let terms = Rc::new(Cell::new(reload::watch_terms(settings)));
     let fixed = reload::Fixed::of(&config);
--- a/src/bin/load-balancer-proxy/reload.rs
+++ b/src/bin/load-balancer-proxy/reload.rs
@@ -134,7 +134,7 @@
 
     /// Begins the thread that reads the file.
     fn begin_to_read(&self) -> io::Result<oneshot::Receiver<Result<Loaded, String>>> {
-        let (fixed, held) = (self.fixed, self.server.settings.borrow().clone());
+        let (fixed, held) = (self.fixed, self.server.settings());
         let (told, loaded) = oneshot::channel();
         let (retired, given_back) = sync_channel(HOLDERS);
         let read = move || {
@@ -155,16 +155,16 @@
         self.moved.send_if_modified(|held| std::mem::replace(held, loaded.discovery) != loaded.discovery);
         if let Some((settings, update)) = loaded.new {
             self.terms.set(watch_terms(&settings));
-            let old = self.server.settings.replace(settings.clone());
+            let old = self.server.replace_settings(settings.clone());
             let _ = loaded.retired.send(old);
             let retired = loaded.retired;
-            let _ = self.server.inputs.send(DispatcherMessage::SettingsReplaced(SettingsReplacement {
+            self.server.notify_dispatcher(DispatcherMessage::SettingsReplaced(SettingsReplacement {
                 settings,
                 update,
                 retired,
             }));
         }
-        let settings = self.server.settings.borrow();
+        let settings = self.server.settings();
         let (version, module) = (settings.version, &settings.module);
         let (classes, tenants) = (module.classes.len(), module.tenants.len());
         tracing::info!(version, classes, tenants, "SIGHUP: configuration in force");
--- /dev/null
+++ b/src/bin/load-balancer-proxy/server/client_connection.rs
@@ -0,0 +1,230 @@
+//! The state of a client connection: what it is doing, when that has lasted too long, and how it is asked to close.
+
+use crate::clock::{micros, Clock};
+use load_balancer::{Micros, Time};
+use std::cell::Cell;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::sync::Notify;
+
+/// A connection that brings nothing for this long is closed, also between requests: each silent peer holds one of few
+/// descriptors. The platform lets go of idle connections after 2 s.
+const IDLE_TIMEOUT: Duration = Duration::from_millis(2100);
+/// A request has to be complete this long after its connection was opened, or after its own first byte if others
+/// were answered before it. A peer that never completes one is owed its end within 3 s; the rest covers a stall.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(2750);
+/// At capacity, a connection that has brought nothing for this long is closed: a client's request follows its
+/// connection by far less.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(100);
+/// At capacity, a request of which no byte has come for this long is rejected.
+const STALLED_REQUEST_TIMEOUT: Duration = Duration::from_millis(450);
+
+/// A first byte that is read this soon after the accept may have come before it.
+const IMMEDIATE_READ: Duration = Duration::from_millis(40);
+/// The longest wait for the accept that a request's time left is reduced by.
+const MAX_ACCEPT_DELAY: Duration = Duration::from_millis(300);
+
+/// When bytes came from a client.
+pub struct Activity {
+    clock: Clock,
+    /// The first since the last answer.
+    first_byte_at: Cell<Option<Time>>,
+    last_byte_at: Cell<Option<Time>>,
+}
+
+impl Activity {
+    /// No byte has come yet.
+    pub fn new(clock: Clock) -> Activity {
+        Activity { clock, first_byte_at: Cell::default(), last_byte_at: Cell::default() }
+    }
+
+    /// Some bytes were read now.
+    pub fn record_read(&self) {
+        let now = self.clock.now();
+        self.first_byte_at.set(self.first_byte_at.get().or(Some(now)));
+        self.last_byte_at.set(Some(now));
+    }
+}
+
+/// How a connection is closed.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub enum CloseMode {
+    /// Between requests; one that has begun is answered first.
+    Graceful,
+    /// A request that has begun is answered with an error.
+    RejectRequest,
+}
+
+/// When and how a connection is closed unless its state changes.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct CloseDeadline {
+    /// From then on it is closed.
+    pub at: Time,
+    /// How it is closed.
+    pub mode: CloseMode,
+}
+
+/// A client's connection.
+pub struct ClientConnection {
+    clock: Clock,
+    /// The earliest time at which it may have been opened; it waited from then on until it was accepted.
+    opened_at: Time,
+    accepted_at: Time,
+    /// When bytes came on it.
+    pub activity: Rc<Activity>,
+    /// Since when it has been idle between requests.
+    idle_since: Cell<Option<Time>>,
+    /// Some request on it was answered.
+    has_answered: Cell<bool>,
+    /// The head of a request was read, and its answer has not been given.
+    is_handling_request: Cell<bool>,
+    /// A request on it was read whole and waits for its answer.
+    pub is_awaiting_answer: Cell<bool>,
+    close_mode: Cell<Option<CloseMode>>,
+    /// It was asked to close.
+    pub close_requested: Notify,
+    /// The request that has begun on it is to be answered with an error.
+    pub request_rejected: Notify,
+    /// It has become idle, from which its time counts.
+    pub became_idle: Notify,
+}
+
+impl ClientConnection {
+    /// A connection accepted now that may have waited `accept_delay` for it.
+    pub fn new(clock: Clock, accept_delay: Duration) -> ClientConnection {
+        let accepted_at = clock.now();
+        ClientConnection {
+            clock,
+            opened_at: accepted_at.saturating_sub(micros(accept_delay)),
+            accepted_at,
+            activity: Rc::new(Activity::new(clock)),
+            idle_since: Cell::default(),
+            has_answered: Cell::default(),
+            is_handling_request: Cell::default(),
+            is_awaiting_answer: Cell::default(),
+            close_mode: Cell::default(),
+            close_requested: Notify::new(),
+            request_rejected: Notify::new(),
+            became_idle: Notify::new(),
+        }
+    }
+
+    /// The head of a request was read.
+    pub fn begin_request(&self) {
+        self.is_handling_request.set(true);
+        self.idle_since.set(None);
+    }
+
+    /// The request has its answer.
+    pub fn end_request(&self) {
+        self.is_handling_request.set(false);
+        self.has_answered.set(true);
+        self.activity.first_byte_at.set(None);
+        self.idle_since.set(Some(self.clock.now()));
+        self.became_idle.notify_one();
+    }
+
+    /// When the request that has begun has to be complete.
+    pub fn request_read_deadline(&self) -> Time {
+        if self.has_answered.get() {
+            let first_byte_at = self.activity.first_byte_at.get().unwrap_or(self.clock.now());
+            return first_byte_at + micros(REQUEST_TIMEOUT);
+        }
+        let least = self.accepted_at + micros(STALLED_REQUEST_TIMEOUT);
+        least.max(self.opened_at + micros(REQUEST_TIMEOUT))
+    }
+
+    /// How long the request that has begun may have waited for its connection to be accepted.
+    pub fn accept_delay(&self) -> Micros {
+        let first_byte_at = self.activity.first_byte_at.get().unwrap_or(self.accepted_at);
+        if self.has_answered.get() || first_byte_at - self.accepted_at > micros(IMMEDIATE_READ) {
+            return Micros(0);
+        }
+        (self.accepted_at - self.opened_at).min(micros(MAX_ACCEPT_DELAY))
+    }
+
+    /// When it is closed unless its state changes; `None` while a request is handled, whose body has a deadline of
+    /// its own, or once it was asked to close.
+    pub fn close_deadline(&self) -> Option<CloseDeadline> {
+        if self.is_handling_request.get() {
+            return None;
+        }
+        if self.activity.first_byte_at.get().is_some() {
+            let at = self.request_read_deadline();
+            return Some(CloseDeadline { at, mode: CloseMode::RejectRequest });
+        }
+        if self.close_mode.get().is_some() {
+            return None;
+        }
+        Some(CloseDeadline { at: self.idle_deadline(), mode: CloseMode::Graceful })
+    }
+
+    /// When it is closed at capacity, because it brings nothing. Connections that are idle between requests are closed
+    /// before any of these.
+    pub fn close_deadline_at_capacity(&self) -> Option<CloseDeadline> {
+        if self.close_mode.get().is_some() || self.is_awaiting_answer.get() || self.idle_since().is_some() {
+            return None;
+        }
+        Some(match self.activity.last_byte_at.get() {
+            None => {
+                let at = self.accepted_at + micros(SILENCE_TIMEOUT);
+                CloseDeadline { at, mode: CloseMode::Graceful }
+            }
+            Some(last_byte_at) => {
+                let at = last_byte_at + micros(STALLED_REQUEST_TIMEOUT);
+                CloseDeadline { at, mode: CloseMode::RejectRequest }
+            }
+        })
+    }
+
+    /// Asks it to close if its deadline has passed; `false` if not.
+    pub fn close_if_overdue(&self) -> bool {
+        match self.close_deadline() {
+            Some(deadline) if deadline.at <= self.clock.now() => {
+                self.request_close(deadline.mode);
+                true
+            }
+            _ => false,
+        }
+    }
+
+    /// Asks it to close.
+    pub fn request_close(&self, mode: CloseMode) {
+        self.close_mode.set(Some(mode));
+        self.close_requested.notify_one();
+        if mode == CloseMode::RejectRequest {
+            self.request_rejected.notify_one();
+        }
+    }
+
+    /// How it was asked to close, if it was.
+    pub fn close_mode(&self) -> Option<CloseMode> {
+        self.close_mode.get()
+    }
+
+    /// Since when it has been idle: nothing has come after its last answer.
+    pub fn idle_since(&self) -> Option<Time> {
+        self.idle_since.get().filter(|_| self.activity.first_byte_at.get().is_none())
+    }
+
+    /// Nothing has come on it since it was accepted.
+    pub fn has_sent_nothing(&self) -> bool {
+        self.activity.last_byte_at.get().is_none()
+    }
+
+    /// A request on it has begun and is not complete.
+    pub fn is_receiving_request(&self) -> bool {
+        !self.is_awaiting_answer.get()
+            && (self.is_handling_request.get() || self.activity.first_byte_at.get().is_some())
+    }
+
+    fn idle_deadline(&self) -> Time {
+        match self.idle_since.get() {
+            Some(since) => since + micros(IDLE_TIMEOUT),
+            None => {
+                let least = self.accepted_at + micros(SILENCE_TIMEOUT);
+                least.max(self.opened_at + micros(IDLE_TIMEOUT))
+            }
+        }
+    }
+}
--- /dev/null
+++ b/src/bin/load-balancer-proxy/server/connection_task.rs
@@ -0,0 +1,113 @@
+//! One client connection from its accept to its end.
+
+use super::client_connection::{ClientConnection, CloseMode};
+use super::client_socket::ClientSocket;
+use super::listener::Accepted;
+use super::Server;
+use hyper::server::conn::http1;
+use hyper::service::service_fn;
+use hyper_util::rt::TokioTimer;
+use load_balancer::Time;
+use std::future::poll_fn;
+use std::rc::Rc;
+use std::task::Poll;
+use tokio::net::TcpStream;
+
+/// Frees the connection's slot however its task ends, a panic included.
+struct ConnectionSlot<'a> {
+    id: u64,
+    server: &'a Server,
+}
+
+impl Drop for ConnectionSlot<'_> {
+    fn drop(&mut self) {
+        self.server.connections.borrow_mut().remove(&self.id);
+        self.server.connection_closed.notify_one();
+    }
+}
+
+/// What follows for a connection that was asked to close.
+enum CloseStep {
+    /// Nothing yet: a request on it still has to be answered.
+    Wait,
+    /// The request in hand, if there is one, is the last.
+    StopAfterRequest,
+    /// The request that was begun is answered with an error.
+    Reject,
+    /// The connection is dropped.
+    Drop,
+}
+
+impl CloseStep {
+    fn of(client: &ClientConnection) -> CloseStep {
+        if client.has_sent_nothing() {
+            return CloseStep::Drop; // it has asked for nothing: no answer is owed
+        }
+        match client.close_mode() {
+            Some(CloseMode::RejectRequest)
+                if client.is_receiving_request() && client.close_deadline().is_some() =>
+            {
+                CloseStep::Reject
+            }
+            // A request begun meanwhile is answered, with the notice that it is the last.
+            Some(CloseMode::Graceful) if !client.is_receiving_request() => CloseStep::StopAfterRequest,
+            _ => CloseStep::Wait,
+        }
+    }
+}
+
+impl Server {
+    /// Serves an accepted connection in a task of its own.
+    pub(super) fn spawn_connection(self: Rc<Self>, accepted: Accepted) {
+        let Accepted { stream, since } = accepted;
+        let _ = stream.set_nodelay(true);
+        let client = Rc::new(ClientConnection::new(self.clock, since.elapsed()));
+        let id = self.next_id();
+        self.connections.borrow_mut().insert(id, client.clone());
+        tokio::task::spawn_local(async move {
+            let _slot = ConnectionSlot { id, server: &self };
+            self.serve_connection(stream, &client).await;
+        });
+    }
+
+    /// Serves a connection to its end.
+    async fn serve_connection(&self, stream: TcpStream, client: &ClientConnection) {
+        let service = service_fn(|request| self.handle_request(request, client));
+        let mut http = http1::Builder::new();
+        http.timer(TokioTimer::new()).header_read_timeout(None);
+        let socket = ClientSocket::new(stream, client.activity.clone());
+        let connection = http.serve_connection(socket.clone(), service);
+        tokio::pin!(connection);
+        let disconnected = poll_fn(|cx| match client.is_awaiting_answer.get() {
+            true => socket.poll_disconnected(cx),
+            false => Poll::Pending,
+        });
+        tokio::pin!(disconnected);
+        loop {
+            let deadline = client.close_deadline().map_or(Time::NEVER, |deadline| deadline.at);
+            tokio::select! {
+                biased;
+                result = connection.as_mut() => {
+                    if let Err(error) = result {
+                        tracing::debug!(%error, "client connection failed");
+                    }
+                    return socket.linger(client.close_mode() == Some(CloseMode::RejectRequest)).await;
+                }
+                () = &mut disconnected => return,
+                () = client.close_requested.notified() => {}
+                () = client.became_idle.notified() => continue,
+                () = tokio::time::sleep_until(self.clock.instant(deadline)) => {
+                    if !client.close_if_overdue() {
+                        continue;
+                    }
+                }
+            }
+            match CloseStep::of(client) {
+                CloseStep::Wait => {}
+                CloseStep::StopAfterRequest => connection.as_mut().graceful_shutdown(),
+                CloseStep::Reject => return socket.reject().await,
+                CloseStep::Drop => return,
+            }
+        }
+    }
+}
--- /dev/null
+++ b/src/bin/load-balancer-proxy/server/graceful_shutdown.rs
@@ -0,0 +1,83 @@
+//! Graceful shutdown: from SIGTERM to the last answer, before the platform kills the process.
+
+use super::client_connection::{ClientConnection, CloseMode};
+use super::listener::{Accepted, Acceptor, ListenQueue};
+use super::Server;
+use crate::messages::DispatcherMessage;
+use load_balancer::{Micros, Time};
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::time::Instant;
+
+/// Connections are accepted for this long after SIGTERM: clients still open some.
+const ACCEPT_PERIOD: Duration = Duration::from_millis(500);
+/// The longest deadline of a request that is waited for: SIGKILL follows it by 0.7 s.
+const MAX_REQUEST_TIME: Micros = Micros(3_000_000);
+/// Answers are due this long after the longest deadline: what is left to SIGKILL covers a stall of 0.15 s and the
+/// way to the client.
+const ANSWER_PERIOD: Micros = Micros(500_000);
+/// Time to write the last rejections. It counts from then on: a stalled process has not written them before.
+const REJECTION_PERIOD: Duration = Duration::from_millis(100);
+
+/// When the listener is closed if the shutdown begins now.
+pub(super) fn end_of_accepting() -> Instant {
+    Instant::now() + ACCEPT_PERIOD
+}
+
+impl Server {
+    /// Begins the shutdown and tells the dispatcher; returns the deadline of all answers.
+    pub(super) fn begin_shutdown(&self) -> Time {
+        self.is_shutting_down.set(true);
+        let longest_deadline = self.settings.borrow().longest;
+        let signalled_at = self.clock.now().saturating_sub(self.stall_detector.unseen());
+        let deadline = signalled_at + longest_deadline.min(MAX_REQUEST_TIME) + ANSWER_PERIOD;
+        self.notify_dispatcher(DispatcherMessage::ShutdownStarted { deadline });
+        deadline
+    }
+
+    /// Serves what the system has accepted and what is open, up to the deadline; rejects what is left then.
+    pub(super) async fn finish(self: &Rc<Self>, acceptor: Acceptor, deadline: Time) {
+        let queue = acceptor.into_queue().inspect_err(|e| tracing::error!(error = %e, "listen queue lost"));
+        let mut queue = queue.ok();
+        let deadline = self.clock.instant(deadline);
+        if tokio::time::timeout_at(deadline, self.drain(&mut queue)).await.is_ok() {
+            return;
+        }
+        self.close_connections(ClientConnection::is_receiving_request, CloseMode::RejectRequest);
+        let _ = tokio::time::timeout(REJECTION_PERIOD, self.drain(&mut queue)).await;
+    }
+
+    /// Serves what waits in the queue and what is open, until nothing is.
+    async fn drain(self: &Rc<Self>, queue: &mut Option<ListenQueue>) {
+        loop {
+            self.close_connections(|connection| connection.idle_since().is_some(), CloseMode::Graceful);
+            if queue.is_none() && self.connections.borrow().is_empty() {
+                return;
+            }
+            tokio::select! {
+                biased;
+                accepted = next_accepted(queue) => match accepted {
+                    Some(accepted) => self.clone().spawn_connection(accepted),
+                    None => *queue = None,
+                },
+                () = self.connection_closed.notified() => {}
+            }
+        }
+    }
+
+    fn close_connections(&self, is_affected: impl Fn(&ClientConnection) -> bool, mode: CloseMode) {
+        for connection in self.connections.borrow().values() {
+            if is_affected(connection) {
+                connection.request_close(mode);
+            }
+        }
+    }
+}
+
+/// The next connection of the queue, `None` once it is empty; never ready without a queue.
+async fn next_accepted(queue: &mut Option<ListenQueue>) -> Option<Accepted> {
+    match queue {
+        Some(queue) => queue.next().await,
+        None => std::future::pending().await,
+    }
+}
--- a/src/bin/load-balancer-proxy/listener.rs
+++ b/src/bin/load-balancer-proxy/server/listener.rs
@@ -1,4 +1,4 @@
-//! The listening socket: clients' connections one by one, whatever goes wrong with a single call.
+//! The listening socket: accepts client connections one by one, whatever fails with a single call.
 
 use load_balancer::net::failures;
 use std::future::poll_fn;
@@ -14,14 +14,14 @@
 const LONGEST_PAUSE: Duration = Duration::from_millis(20);
 
 /// The wait while the means for further connections are short.
-struct Pause {
+struct Backoff {
     next: Duration,
     until: Option<Instant>,
 }
 
-impl Pause {
-    fn new() -> Pause {
-        Pause { next: FIRST_PAUSE, until: None }
+impl Backoff {
+    fn new() -> Backoff {
+        Backoff { next: FIRST_PAUSE, until: None }
     }
 
     /// Takes in a failed accept: one connection is gone, or the next has to wait.
@@ -54,33 +54,33 @@
 /// The listening socket while the proxy runs.
 pub struct Acceptor {
     listener: TcpListener,
-    pause: Pause,
+    backoff: Backoff,
     /// Since when connections may wait that are not accepted; none do where the queue was found empty after that.
-    held_since: Option<Instant>,
+    unaccepted_since: Option<Instant>,
 }
 
 impl Acceptor {
     pub fn new(listener: TcpListener) -> Acceptor {
-        Acceptor { listener, pause: Pause::new(), held_since: None }
+        Acceptor { listener, backoff: Backoff::new(), unaccepted_since: None }
     }
 
     /// None is accepted for the time being.
-    pub fn hold(&mut self) {
-        self.held_since.get_or_insert_with(Instant::now);
+    pub fn pause(&mut self) {
+        self.unaccepted_since.get_or_insert_with(Instant::now);
     }
 
     /// The next connection. Dropped before it is ready it loses none.
     pub async fn accept(&mut self) -> Accepted {
         loop {
-            self.pause.over().await;
+            self.backoff.over().await;
             match poll_fn(|cx| self.poll_accept(cx)).await {
                 Ok(stream) => {
-                    self.pause = Pause::new();
-                    return Accepted { stream, since: self.held_since.unwrap_or_else(Instant::now) };
+                    self.backoff = Backoff::new();
+                    return Accepted { stream, since: self.unaccepted_since.unwrap_or_else(Instant::now) };
                 }
                 Err(failure) => {
-                    self.hold();
-                    self.pause.failed(&failure);
+                    self.pause();
+                    self.backoff.failed(&failure);
                 }
             }
             tokio::task::yield_now().await;
@@ -90,37 +90,40 @@
     fn poll_accept(&mut self, cx: &mut Context) -> Poll<io::Result<TcpStream>> {
         let accepted = self.listener.poll_accept(cx);
         if accepted.is_pending() {
-            self.held_since = None;
+            self.unaccepted_since = None;
         }
         accepted.map_ok(|(stream, _)| stream)
     }
 
     /// What the system has taken for the proxy and the proxy has not yet.
-    pub fn into_queue(self) -> io::Result<Queue> {
-        let held_since = self.held_since;
-        Ok(Queue { listener: self.listener.into_std()?, pause: Pause::new(), held_since })
+    pub fn into_queue(self) -> io::Result<ListenQueue> {
+        let unaccepted_since = self.unaccepted_since;
+        Ok(ListenQueue { listener: self.listener.into_std()?, backoff: Backoff::new(), unaccepted_since })
     }
 }
 
 /// The connections that waited as the proxy ceased to accept. The socket is closed with it.
-pub struct Queue {
+pub struct ListenQueue {
     listener: std::net::TcpListener,
-    pause: Pause,
-    held_since: Option<Instant>,
+    backoff: Backoff,
+    unaccepted_since: Option<Instant>,
 }
 
-impl Queue {
+impl ListenQueue {
     /// The next one, if there is any; waits while the means for one are short. Dropped before it is ready it loses none.
     pub async fn next(&mut self) -> Option<Accepted> {
         loop {
-            self.pause.over().await;
+            self.backoff.over().await;
             match self.take() {
                 Ok(stream) => {
-                    self.pause = Pause::new();
-                    return Some(Accepted { stream, since: self.held_since.unwrap_or_else(Instant::now) });
+                    self.backoff = Backoff::new();
+                    return Some(Accepted {
+                        stream,
+                        since: self.unaccepted_since.unwrap_or_else(Instant::now),
+                    });
                 }
                 Err(failure) if failure.kind() == io::ErrorKind::WouldBlock => return None,
-                Err(failure) => self.pause.failed(&failure),
+                Err(failure) => self.backoff.failed(&failure),
             }
             tokio::task::yield_now().await;
         }
--- /dev/null
+++ b/src/bin/load-balancer-proxy/server/request_handler.rs
@@ -0,0 +1,158 @@
+//! One request from its head to its response: readiness probe, parsing, body, dispatcher, final answer.
+
+use super::abandonment_guard::{AbandonmentGuard, RequestOutcome};
+use super::client_connection::ClientConnection;
+use super::readiness::is_readiness_probe;
+use super::request_error::RequestError;
+use super::request_parsing::ParsedRequest;
+use super::responses::{self, ServerResponse};
+use super::Server;
+use crate::headers::{remove_hop_by_hop, MAX_BODY_BYTES};
+use crate::messages::{DispatcherMessage, FinalAnswer, ReceivedRequest};
+use crate::upstream::UpstreamRequest;
+use bytes::Bytes;
+use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
+use hyper::body::{Body, Incoming};
+use hyper::header::{HeaderValue, CONNECTION};
+use hyper::http::request::Parts;
+use hyper::Request;
+use load_balancer::{Micros, RequestId, Time};
+use std::convert::Infallible;
+use std::rc::Rc;
+use tokio::sync::oneshot;
+
+/// A valid request that was read whole.
+struct CompleteRequest {
+    received_at: Time,
+    /// How long it may have waited before it was read.
+    unobserved: Micros,
+    parsed: ParsedRequest,
+    head: Parts,
+    body: Bytes,
+}
+
+impl Server {
+    /// Answers one request of a client's connection.
+    pub(super) async fn handle_request(
+        &self, request: Request<Incoming>, client: &ClientConnection,
+    ) -> Result<ServerResponse, Infallible> {
+        client.begin_request();
+        let mut response = self.respond(request, client).await;
+        client.end_request();
+        if self.is_shutting_down.get() || client.close_mode().is_some() || self.is_at_capacity() {
+            response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+        }
+        Ok(response)
+    }
+
+    async fn respond(&self, request: Request<Incoming>, client: &ClientConnection) -> ServerResponse {
+        if is_readiness_probe(&request) {
+            return self.readiness();
+        }
+        match self.read_request(request, client).await {
+            Ok(request) => self.forward(request, client).await,
+            Err(error) => error.response(),
+        }
+    }
+
+    /// Parses a request and reads its body.
+    async fn read_request(
+        &self, request: Request<Incoming>, client: &ClientConnection,
+    ) -> Result<CompleteRequest, RequestError> {
+        let received_at = self.clock.now();
+        let unobserved = Micros(self.stall_detector.unseen().0 + client.accept_delay().0);
+        let (head, body) = request.into_parts();
+        let mut parsed = ParsedRequest::parse(&self.settings.borrow(), &head, body.size_hint().exact())?;
+        if body.size_hint().lower() > MAX_BODY_BYTES as u64 {
+            return Err(RequestError::BodyTooLarge);
+        }
+        let deadline = client.request_read_deadline().min(received_at + parsed.time_left);
+        let body = self.read_body(body, client, deadline).await?;
+        // A reload during the body: the request is dispatched under the settings in force at its last byte.
+        if parsed.settings_version != self.settings.borrow().version {
+            parsed = ParsedRequest::parse(&self.settings.borrow(), &head, Some(body.len() as u64))?;
+        }
+        Ok(CompleteRequest { received_at, unobserved, parsed, head, body })
+    }
+
+    async fn read_body(
+        &self, body: Incoming, client: &ClientConnection, deadline: Time,
+    ) -> Result<Bytes, RequestError> {
+        let collected = tokio::select! {
+            biased;
+            collected = Limited::new(body, MAX_BODY_BYTES).collect() => collected,
+            () = client.request_rejected.notified() => return Err(RequestError::BodyTimeout),
+            () = tokio::time::sleep_until(self.clock.instant(deadline)) => {
+                return Err(RequestError::BodyTimeout);
+            }
+        };
+        match collected {
+            Ok(body) => Ok(body.to_bytes()),
+            Err(error) if error.is::<LengthLimitError>() => Err(RequestError::BodyTooLarge),
+            Err(_) => Err(RequestError::InvalidBody),
+        }
+    }
+
+    /// Sends a request to the dispatcher and waits for its final answer.
+    async fn forward(&self, request: CompleteRequest, client: &ClientConnection) -> ServerResponse {
+        let CompleteRequest { received_at, unobserved, parsed, head, body } = request;
+        let upstream_request = Rc::new(UpstreamRequest::new(upstream_head(head), body, unobserved));
+        let id = RequestId(self.next_id());
+        let guard = AbandonmentGuard {
+            id,
+            upstream_request: upstream_request.clone(),
+            received_at,
+            server: self,
+            is_answered: false,
+        };
+        tracing::debug!(
+            request = id.0,
+            correlation_id = %upstream_request.correlation(),
+            time_left_us = parsed.time_left.0,
+            "request received"
+        );
+        let (answer_sender, answer) = oneshot::channel();
+        self.notify_dispatcher(DispatcherMessage::RequestReceived(ReceivedRequest {
+            id,
+            class: parsed.class,
+            tenant: parsed.tenant,
+            deadline: received_at + Micros(parsed.time_left.0.saturating_sub(parsed.margin.0)),
+            expected_work: parsed.expected_work,
+            is_client_retry: parsed.is_client_retry,
+            upstream_request,
+            answer: answer_sender,
+        }));
+        client.is_awaiting_answer.set(true);
+        let answer = answer.await;
+        client.is_awaiting_answer.set(false);
+        complete(guard, answer.unwrap_or(FinalAnswer::Failed)) // without its dispatcher the proxy fails requests
+    }
+}
+
+/// The head that goes to a backend.
+fn upstream_head(mut head: Parts) -> Request<()> {
+    remove_hop_by_hop(&mut head.headers);
+    let mut upstream_head = Request::new(());
+    *upstream_head.method_mut() = head.method;
+    *upstream_head.uri_mut() = head.uri.path_and_query().map(|path| path.clone().into()).unwrap_or_default();
+    *upstream_head.headers_mut() = head.headers;
+    upstream_head
+}
+
+/// Records the final answer and turns it into the response.
+fn complete(guard: AbandonmentGuard, answer: FinalAnswer) -> ServerResponse {
+    match answer {
+        FinalAnswer::Served(response) => {
+            guard.complete(RequestOutcome::Served);
+            response.map(Full::new)
+        }
+        FinalAnswer::Rejected { retry_after } => {
+            guard.complete(RequestOutcome::Rejected);
+            responses::rejected(retry_after)
+        }
+        FinalAnswer::Failed => {
+            guard.complete(RequestOutcome::Failed);
+            responses::failed()
+        }
+    }
+}
