--- a/src/bin/load-balancer-proxy/reload.rs
+++ b/src/bin/load-balancer-proxy/reload.rs
@@ -21,21 +21,26 @@
 
 /// What keeps its value until a restart.
 #[derive(Clone, Copy)]
-pub struct Fixed {
+pub struct RestartOnlySettings {
     listen: SocketAddr,
     seed: u64,
     sockets: usize,
     asks: bool,
 }
 
-impl Fixed {
-    pub fn of(config: &Config) -> Fixed {
+impl RestartOnlySettings {
+    pub fn of(config: &Config) -> RestartOnlySettings {
         let Config { listen, seed, sockets, .. } = *config;
-        Fixed { listen, seed, sockets, asks: config.settings.module.discovery != DiscoveryMode::Push }
+        RestartOnlySettings {
+            listen,
+            seed,
+            sockets,
+            asks: config.settings.module.discovery != DiscoveryMode::Push,
+        }
     }
 
     /// The keys with the values that they keep, where another file has others.
-    fn kept(&self, other: &Fixed) -> Vec<KeptKey> {
+    fn kept(&self, other: &RestartOnlySettings) -> Vec<KeptKey> {
         let mode = |asks| if asks { "subscribe" } else { "automatic" };
         let each = [
             (self.listen == other.listen, "listen", self.listen.to_string()),
@@ -74,9 +79,11 @@
 }
 
 /// Reads the file and sets it against what is in force.
-fn load(fixed: Fixed, held: &Settings, retired: SyncSender<Arc<Settings>>) -> Result<Loaded, String> {
+fn load(
+    fixed: RestartOnlySettings, held: &Settings, retired: SyncSender<Arc<Settings>>,
+) -> Result<Loaded, String> {
     let mut config = config::load()?;
-    let kept = fixed.kept(&Fixed::of(&config));
+    let kept = fixed.kept(&RestartOnlySettings::of(&config));
     let discovery = config.discovery;
     let settings = Arc::get_mut(&mut config.settings).ok_or("settings: held elsewhere")?;
     settings.version = held.version;
@@ -99,14 +106,14 @@
 }
 
 /// What follows SIGHUP.
-pub struct Reload {
-    pub fixed: Fixed,
+pub struct Reloader {
+    pub restart_only: RestartOnlySettings,
     pub server: Rc<Server>,
-    pub moved: watch::Sender<SocketAddr>,
-    pub terms: Rc<Cell<Terms>>,
+    pub discovery_address: watch::Sender<SocketAddr>,
+    pub watch_terms: Rc<Cell<Terms>>,
 }
 
-impl Reload {
+impl Reloader {
     /// One file after another. Signals that come during a read bring one more read, after it: the last file wins.
     pub async fn run(self, mut hangup: Signal) {
         while hangup.recv().await.is_some() {
@@ -134,7 +141,7 @@
 
     /// Begins the thread that reads the file.
     fn begin_to_read(&self) -> io::Result<oneshot::Receiver<Result<Loaded, String>>> {
-        let (fixed, held) = (self.fixed, self.server.settings());
+        let (fixed, held) = (self.restart_only, self.server.settings());
         let (told, loaded) = oneshot::channel();
         let (retired, given_back) = sync_channel(HOLDERS);
         let read = move || {
@@ -152,9 +159,10 @@
             tracing::warn!(key = %kept.key, value = %kept.value, "SIGHUP: key needs a restart");
         }
         tracing::info!(address = %loaded.discovery, "SIGHUP: discovery in force");
-        self.moved.send_if_modified(|held| std::mem::replace(held, loaded.discovery) != loaded.discovery);
+        self.discovery_address
+            .send_if_modified(|held| std::mem::replace(held, loaded.discovery) != loaded.discovery);
         if let Some((settings, update)) = loaded.new {
-            self.terms.set(watch_terms(&settings));
+            self.watch_terms.set(watch_terms(&settings));
             let old = self.server.replace_settings(settings.clone());
             let _ = loaded.retired.send(old);
             let retired = loaded.retired;
--- /dev/null
+++ b/src/bin/load-balancer-proxy/startup.rs
@@ -0,0 +1,227 @@
+//! Start-up: brings up the event loop, the listening socket and the tasks of the proxy, in order.
+
+use crate::clock::Clock;
+use crate::config::Config;
+use crate::dispatcher::{Dispatcher, DispatcherHandles};
+use crate::messages::{DispatcherMessage, ServingStatus};
+use crate::reload::{self, Reloader, RestartOnlySettings};
+use crate::server::{Server, ServerHandles};
+use crate::stall_detector::StallDetector;
+use crate::upstream::ConnectionPool;
+use load_balancer::discovery::start_times::StartTimes;
+use load_balancer::discovery::{Terms, Watch};
+use load_balancer::net::failures;
+use load_balancer::{ConfigError, EndpointListUpdate};
+use std::cell::Cell;
+use std::io;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use thiserror::Error;
+use tokio::net::{TcpListener, TcpSocket};
+use tokio::runtime::Runtime;
+use tokio::signal::unix::{signal, Signal, SignalKind};
+use tokio::sync::{mpsc, watch, Notify};
+use tokio::task::LocalSet;
+
+/// Descriptors kept for the listener, discovery, signals, standard streams and the runtime.
+const RESERVED_DESCRIPTORS: usize = 32;
+
+/// Connections that the system keeps for the proxy until it accepts them.
+const LISTEN_BACKLOG: u32 = 1024;
+
+/// Why the proxy did not start.
+#[derive(Debug, Error)]
+pub enum StartupError {
+    /// The configuration is missing or invalid.
+    #[error("{0}")]
+    Config(String),
+    /// The balancer does not accept the settings.
+    #[error("settings: {0}")]
+    Settings(#[from] ConfigError),
+    /// The event loop was not created.
+    #[error("runtime: {0}")]
+    Runtime(io::Error),
+    /// A signal handler was not installed.
+    #[error("{name}: {error}")]
+    SignalHandler {
+        /// The signal.
+        name: &'static str,
+        /// What the system said.
+        error: io::Error,
+    },
+    /// The address to listen on is taken or not of this machine.
+    #[error("listen: expected a free address, got {address}: {error}")]
+    Listen {
+        /// The address.
+        address: SocketAddr,
+        /// What the system said.
+        error: io::Error,
+    },
+    /// The system does not tell the address listened on.
+    #[error("listen: {0}")]
+    LocalAddress(io::Error),
+}
+
+/// The signals that the proxy handles.
+struct Signals {
+    terminate: Signal,
+    interrupt: Signal,
+    hangup: Signal,
+}
+
+impl Signals {
+    fn install() -> Result<Signals, StartupError> {
+        let install = |kind, name| signal(kind).map_err(|error| StartupError::SignalHandler { name, error });
+        Ok(Signals {
+            terminate: install(SignalKind::terminate(), "SIGTERM")?,
+            interrupt: install(SignalKind::interrupt(), "SIGINT")?,
+            hangup: install(SignalKind::hangup(), "SIGHUP")?,
+        })
+    }
+}
+
+/// How the descriptors of the process are shared out, once the reserved ones are taken off.
+struct ConnectionLimits {
+    clients: usize,
+    backends: usize,
+}
+
+impl ConnectionLimits {
+    fn of(descriptors: usize) -> ConnectionLimits {
+        let available = descriptors - RESERVED_DESCRIPTORS;
+        let clients = available / 2;
+        ConnectionLimits { clients, backends: available - clients }
+    }
+}
+
+/// What the tasks of the proxy share with the dispatcher.
+struct SharedHandles {
+    clock: Clock,
+    dispatcher: mpsc::UnboundedSender<DispatcherMessage>,
+    resubscribe: Rc<Notify>,
+    status: Rc<ServingStatus>,
+}
+
+/// Runs the proxy until it has shut down.
+pub fn run(config: Config) -> Result<(), StartupError> {
+    let clock = Clock::new();
+    let stall_detector = StallDetector::new(clock);
+    let runtime = failures::with_means(|| build_runtime(&stall_detector)).map_err(StartupError::Runtime)?;
+    LocalSet::new().block_on(&runtime, serve(config, clock, stall_detector))
+}
+
+fn build_runtime(stall_detector: &StallDetector) -> io::Result<Runtime> {
+    let stall_detector = stall_detector.clone();
+    tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .on_thread_unpark(move || stall_detector.looked())
+        .build()
+}
+
+async fn serve(mut config: Config, clock: Clock, stall_detector: StallDetector) -> Result<(), StartupError> {
+    let signals = Signals::install()?;
+    let listener = open_listener(config.listen)?;
+    tokio::task::spawn_local(stall_detector.clone().keep_looking());
+    let limits = ConnectionLimits::of(config.sockets);
+    let (dispatcher, messages) = mpsc::unbounded_channel();
+    let shared = SharedHandles { clock, dispatcher, resubscribe: Rc::default(), status: Rc::default() };
+    let settings = &config.settings;
+    let pool = ConnectionPool::new(clock, settings.dial_timeout, settings.conn_idle, limits.backends);
+    let server = Server::new(server_handles(&shared, stall_detector), settings.clone(), limits.clients);
+    let server = Rc::new(server);
+    let (discovery_address, watched_address) = watch::channel(config.discovery);
+    let watch_terms = Rc::new(Cell::new(reload::watch_terms(settings)));
+    let discovery = prepare_discovery(&mut config, watched_address, watch_terms.clone(), &shared);
+    let restart_only = RestartOnlySettings::of(&config);
+    start_dispatcher(config, pool, shared, messages)?;
+    tokio::task::spawn_local(discovery.run());
+    let reloader = Reloader { restart_only, server: server.clone(), discovery_address, watch_terms };
+    tokio::task::spawn_local(reloader.run(signals.hangup));
+    server.run(listener, shutdown_signal(signals.terminate, signals.interrupt)).await;
+    Ok(())
+}
+
+/// Listens, and reports on which address: with port 0 this line alone tells the port.
+fn open_listener(address: SocketAddr) -> Result<TcpListener, StartupError> {
+    let listener =
+        failures::with_means(|| listen(address)).map_err(|error| StartupError::Listen { address, error })?;
+    let local_address = listener.local_addr().map_err(StartupError::LocalAddress)?;
+    tracing::info!("listening on {local_address}");
+    Ok(listener)
+}
+
+fn listen(address: SocketAddr) -> io::Result<TcpListener> {
+    let socket = if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
+    socket.set_reuseaddr(true)?;
+    socket.bind(address)?;
+    socket.listen(LISTEN_BACKLOG)
+}
+
+fn server_handles(shared: &SharedHandles, stall_detector: StallDetector) -> ServerHandles {
+    ServerHandles {
+        clock: shared.clock,
+        stall_detector,
+        dispatcher: shared.dispatcher.clone(),
+        status: shared.status.clone(),
+    }
+}
+
+/// Sends the cached list to the dispatcher, and returns the watch on discovery that goes on from it.
+fn prepare_discovery(
+    config: &mut Config, address: watch::Receiver<SocketAddr>, terms: Rc<Cell<Terms>>, shared: &SharedHandles,
+) -> Watch {
+    let clock = shared.clock;
+    let cached = config.known.take();
+    let index = cached.as_ref().map(|list| list.index);
+    let mut targets = cached.map(|list| list.targets).unwrap_or_default();
+    let mut starts = StartTimes::default();
+    starts.place(clock.now(), true, &mut targets);
+    let dispatcher = shared.dispatcher.clone();
+    let watch = Watch {
+        address,
+        mode: config.settings.module.discovery,
+        terms,
+        index,
+        follow: shared.resubscribe.clone(),
+        now: Box::new(move || clock.now()),
+        starts,
+        tell: Box::new(move |update, targets| {
+            let _ = dispatcher.send(DispatcherMessage::EndpointList { update, targets });
+        }),
+    };
+    // An empty list is sent too: the balancer subscribes only once it has heard of its start.
+    let update = EndpointListUpdate::Cached;
+    let _ = shared.dispatcher.send(DispatcherMessage::EndpointList { update, targets });
+    watch
+}
+
+/// Starts the dispatcher. If it ends, the proxy reports that it is not ready: it would fail every request.
+fn start_dispatcher(
+    config: Config, pool: ConnectionPool, shared: SharedHandles,
+    messages: mpsc::UnboundedReceiver<DispatcherMessage>,
+) -> Result<(), StartupError> {
+    let status = shared.status.clone();
+    let handles = DispatcherHandles {
+        pool: Rc::new(pool),
+        inputs: shared.dispatcher,
+        follow: shared.resubscribe,
+        status: shared.status,
+    };
+    let dispatcher = Dispatcher::new(config.settings, config.seed, handles)?;
+    let dispatcher = tokio::task::spawn_local(dispatcher.run(messages));
+    tokio::task::spawn_local(async move {
+        if let Err(error) = dispatcher.await {
+            tracing::error!(%error, "dispatcher ended");
+        }
+        status.serving.set(false);
+    });
+    Ok(())
+}
+
+/// Ready at SIGTERM or SIGINT.
+async fn shutdown_signal(mut terminate: Signal, mut interrupt: Signal) {
+    tokio::select! {
+        _ = terminate.recv() => {}
+        _ = interrupt.recv() => {}
+    }
+}
