--- a/src/bin/load-balancer-proxy/config.rs
+++ b/src/bin/load-balancer-proxy/config.rs
@@ -1,7 +1,7 @@
 //! `$BALANCER_CONFIG` into a checked struct.
 
 use load_balancer::discovery::{self, List};
-use load_balancer::net::failures;
+use load_balancer::net::resource_exhaustion;
 use load_balancer::wire::settings::{self, Key, Names};
 use load_balancer::Micros;
 use std::net::SocketAddr;
@@ -49,7 +49,7 @@
 pub fn load() -> Result<Config, String> {
     let path = std::env::var_os("BALANCER_CONFIG").ok_or("BALANCER_CONFIG: missing, expected a file name")?;
     let path = std::path::Path::new(&path);
-    let text = failures::with_means(|| std::fs::read(path))
+    let text = resource_exhaustion::retry_blocking(|| std::fs::read(path))
         .map_err(|e| format!("BALANCER_CONFIG: expected a readable file, got {}: {e}", path.display()))?;
     let value = serde_json::from_slice(&text)
         .map_err(|e| format!("BALANCER_CONFIG: expected JSON in {}: {e}", path.display()))?;
--- a/src/bin/load-balancer-proxy/reload/mod.rs
+++ b/src/bin/load-balancer-proxy/reload/mod.rs
@@ -11,7 +11,7 @@
 use crate::server::Server;
 use config_reader::{LoadedConfig, NewSettings, ReloadError};
 use load_balancer::discovery::Terms;
-use load_balancer::net::failures;
+use load_balancer::net::resource_exhaustion;
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -19,7 +19,6 @@
 use std::sync::Arc;
 use tokio::signal::unix::Signal;
 use tokio::sync::watch;
-use tokio::time::Instant;
 
 /// The settings that the watch on discovery depends on.
 pub fn watch_terms(settings: &Settings) -> Terms {
@@ -56,16 +55,8 @@
 
     /// Reads the configuration on a thread that neither requests nor the end of the process wait for.
     async fn read(&self) -> Result<LoadedConfig, ReloadError> {
-        let end = Instant::now() + failures::MEANS_WITHIN;
-        let loaded = loop {
-            match config_reader::spawn(self.restart_only, self.server.settings()) {
-                Ok(loaded) => break loaded,
-                Err(error) if failures::is_short_of_means(&error) && Instant::now() < end => {
-                    tokio::time::sleep(failures::MEANS_PAUSE).await;
-                }
-                Err(error) => return Err(ReloadError::ThreadStart(error)),
-            }
-        };
+        let spawn = || config_reader::spawn(self.restart_only, self.server.settings());
+        let loaded = resource_exhaustion::retry(spawn).await.map_err(ReloadError::ThreadStart)?;
         loaded.await.map_err(|_| ReloadError::ThreadEnded)?
     }
 
--- a/src/bin/load-balancer-proxy/startup.rs
+++ b/src/bin/load-balancer-proxy/startup.rs
@@ -10,7 +10,7 @@
 use crate::upstream::ConnectionPool;
 use load_balancer::discovery::start_times::StartTimes;
 use load_balancer::discovery::{Terms, Watch};
-use load_balancer::net::failures;
+use load_balancer::net::resource_exhaustion::retry_blocking;
 use load_balancer::{ConfigError, EndpointListUpdate};
 use std::cell::Cell;
 use std::io;
@@ -106,7 +106,7 @@
 pub fn run(config: Config) -> Result<(), StartupError> {
     let clock = Clock::new();
     let stall_detector = StallDetector::new(clock);
-    let runtime = failures::with_means(|| build_runtime(&stall_detector)).map_err(StartupError::Runtime)?;
+    let runtime = retry_blocking(|| build_runtime(&stall_detector)).map_err(StartupError::Runtime)?;
     LocalSet::new().block_on(&runtime, serve(config, clock, stall_detector))
 }
 
@@ -144,7 +144,7 @@
 /// Listens, and reports on which address: with port 0 this line alone tells the port.
 fn open_listener(address: SocketAddr) -> Result<TcpListener, StartupError> {
     let listener =
-        failures::with_means(|| listen(address)).map_err(|error| StartupError::Listen { address, error })?;
+        retry_blocking(|| listen(address)).map_err(|error| StartupError::Listen { address, error })?;
     let local_address = listener.local_addr().map_err(StartupError::LocalAddress)?;
     tracing::info!("listening on {local_address}");
     Ok(listener)
--- a/src/bin/load-balancer-proxy/upstream.rs
+++ b/src/bin/load-balancer-proxy/upstream.rs
@@ -9,7 +9,7 @@
 use hyper::header::{HeaderMap, HeaderValue};
 use hyper::{Request, Response, StatusCode};
 use load_balancer::discovery::Target;
-use load_balancer::net::dial::{self, DialError};
+use load_balancer::net::connect::{connect, ConnectError, Connected};
 use load_balancer::{BackendState, Micros, Outcome, Time};
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -295,12 +295,12 @@
     }
 
     async fn connect(&self, to: SocketAddr) -> Result<Link, Outcome> {
-        let dialled = dial::dial(to, duration(self.dial_timeout.get()), || self.reserve()).await;
-        let (stream, slot) = dialled.map_err(|e| {
+        let dialled = connect(to, duration(self.dial_timeout.get()), || self.reserve()).await;
+        let Connected { stream, slot } = dialled.map_err(|e| {
             tracing::debug!(address = %to, error = %e, "connect failed");
             match e {
-                DialError::NoMeans => Outcome::NotSent, // it says nothing against the backend
-                DialError::Refused(_) | DialError::TimedOut => Outcome::ConnectFailed,
+                ConnectError::ResourcesExhausted => Outcome::NotSent, // it says nothing against the backend
+                ConnectError::Failed(_) | ConnectError::TimedOut => Outcome::ConnectFailed,
             }
         })?;
         let progress = Rc::new(Progress::default());
--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -2,7 +2,7 @@
 
 pub mod start_times;
 
-use crate::net::dial::{self, DialError};
+use crate::net::connect::{self, ConnectError};
 use crate::wire::settings::{number, Key};
 use crate::{
     Backend, BackendId, BackendState, CellId, DiscoveryMode, EndpointListUpdate, KindId, Time, ZoneId,
@@ -111,10 +111,10 @@
 /// A connection within that time. The call that it is for waits while the means of this machine are short.
 async fn connect(to: SocketAddr, within: Duration) -> Result<Line, String> {
     let stream = loop {
-        match dial::dial(to, within, || Some(())).await {
-            Ok((stream, ())) => break stream,
-            Err(DialError::NoMeans) => {
-                tracing::debug!(error = %DialError::NoMeans, "discovery connect failed")
+        match connect::connect(to, within, || Some(())).await {
+            Ok(connected) => break connected.stream,
+            Err(ConnectError::ResourcesExhausted) => {
+                tracing::debug!(error = %ConnectError::ResourcesExhausted, "discovery connect failed")
             }
             Err(failure) => return Err(failure.to_string()),
         }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,4 +1,5 @@
-//! Network code that more than one program needs: the proxy itself and what plays a fleet of them.
+//! Network code that the proxy and discovery have in common: connecting, backoff, and what errors say.
 
-pub mod dial;
-pub mod failures;
+pub mod backoff;
+pub mod connect;
+pub mod resource_exhaustion;
