--- a/src/bin/load-balancer-proxy/clock.rs
+++ b/src/bin/load-balancer-proxy/clock.rs
@@ -1,36 +1,40 @@
-//! Time for the module: Unix microseconds, which backends' start times share.
+//! The clock of the process: time in Unix microseconds, which the start times of backends share.
 
 use load_balancer::{Micros, Time};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
-/// The system's clock is read once and carried on by the monotonic one, so that a correction of the former
-/// moves no deadline.
+/// The farthest that [`Clock::instant`] looks ahead.
+const MAX_AHEAD: Micros = Micros(3_600_000_000);
+
+/// Reads the system's clock once and goes on with the monotonic one: a correction of the former moves no
+/// deadline.
 #[derive(Clone, Copy)]
 pub struct Clock {
-    start: Instant,
-    unix: u64,
+    started_at: Instant,
+    unix_start: Time,
 }
 
 impl Clock {
+    /// A clock that reads the system's time now.
     pub fn new() -> Clock {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { start: Instant::now(), unix: unix.as_micros() as u64 }
+        let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        Clock { started_at: Instant::now(), unix_start: Time(micros(since_epoch).0) }
     }
 
+    /// The time.
     pub fn now(&self) -> Time {
-        Time(self.unix) + micros(self.start.elapsed())
+        self.unix_start + micros(self.started_at.elapsed())
     }
 
-    /// The instant of a time; of one more than an hour ahead, an hour from now.
-    pub fn instant(&self, at: Time) -> Instant {
-        const HOUR: u64 = 3_600_000_000;
-        let since = at.0.min(self.now().0 + HOUR) - self.unix.min(at.0);
-        self.start + Duration::from_micros(since)
+    /// The instant of a time for the runtime's timers; of one more than an hour ahead, an hour from now.
+    pub fn instant(&self, time: Time) -> Instant {
+        let since_start = time.min(self.now() + MAX_AHEAD) - self.unix_start;
+        self.started_at + duration(since_start)
     }
 }
 
-/// A span for the module.
+/// A span for the balancer.
 pub fn micros(span: Duration) -> Micros {
     Micros(span.as_micros() as u64)
 }
--- a/src/bin/load-balancer-proxy/reload/config_reader.rs
+++ b/src/bin/load-balancer-proxy/reload/config_reader.rs
@@ -1,4 +1,5 @@
-//! Reads the configuration on a thread of its own, beside the requests, and compares it with what is in force.
+//! Reads the configuration on a thread of its own, beside the requests, and compares it with what is in
+//! force.
 
 use super::restart_only::{KeptKey, RestartOnlySettings};
 use crate::config::{self, Settings};
@@ -24,7 +25,7 @@
     SettingsShared,
     /// The system started no thread.
     #[error("no thread to read it: {0}")]
-    ThreadStart(io::Error),
+    ThreadStart(#[source] io::Error),
     /// The thread ended without a result.
     #[error("the thread that read it ended")]
     ThreadEnded,
@@ -84,8 +85,8 @@
     Ok(LoadedConfig { discovery: config.discovery, kept_keys, new_settings, retired })
 }
 
-/// Waits until the holders of the replaced settings have given them back: freeing the names of thousands of classes and
-/// tenants would stall the event loop.
+/// Frees the replaced settings once their holders have sent them back: on the event loop, freeing the names
+/// of thousands of classes and tenants would stall it.
 fn free_retired(current: Arc<Settings>, retired: Receiver<Arc<Settings>>) {
     drop(current);
     for settings in retired {
--- a/src/bin/load-balancer-proxy/reload/mod.rs
+++ b/src/bin/load-balancer-proxy/reload/mod.rs
@@ -42,8 +42,8 @@
 }
 
 impl Reloader {
-    /// Reloads one configuration after another. Signals during a reload bring one more after it: the last file
-    /// wins.
+    /// Reloads one configuration after another. Signals during a reload bring one more after it: the last
+    /// file wins.
     pub async fn run(self, mut hangup: Signal) {
         while hangup.recv().await.is_some() {
             match self.read().await {
@@ -60,7 +60,8 @@
         loaded.await.map_err(|_| ReloadError::ThreadEnded)?
     }
 
-    /// Runs without an await point and sends the dispatcher its message in turn: each request finds one configuration.
+    /// Runs without an await point and sends the dispatcher its message in turn: each request finds one
+    /// configuration.
     fn put_in_force(&self, loaded: LoadedConfig) {
         for kept in loaded.kept_keys {
             tracing::warn!(key = %kept.key, value = %kept.value, "SIGHUP: key needs a restart");
--- a/src/bin/load-balancer-proxy/server/abandonment_guard.rs
+++ b/src/bin/load-balancer-proxy/server/abandonment_guard.rs
@@ -1,4 +1,4 @@
-//! Tells the dispatcher when a client disconnects before its request is answered.
+//! Notifies the dispatcher when a client disconnects before its request is answered.
 
 use super::Server;
 use crate::messages::DispatcherMessage;
@@ -31,21 +31,24 @@
     }
 }
 
-/// A request that the dispatcher knows of. Dropped before it is completed, its client has disconnected.
+/// Guards a request that the dispatcher knows of: dropped before it is completed, its client has
+/// disconnected.
 pub(super) struct AbandonmentGuard<'a> {
-    /// The request.
-    pub id: RequestId,
-    /// What goes to a backend.
-    pub upstream_request: Rc<UpstreamRequest>,
-    /// When its head was read.
-    pub received_at: Time,
-    /// The server that handles it.
-    pub server: &'a Server,
-    /// It has its final answer.
-    pub is_answered: bool,
+    server: &'a Server,
+    id: RequestId,
+    upstream_request: Rc<UpstreamRequest>,
+    received_at: Time,
+    is_answered: bool,
 }
 
-impl AbandonmentGuard<'_> {
+impl<'a> AbandonmentGuard<'a> {
+    /// Guards a request whose head was read at `received_at`.
+    pub fn new(
+        server: &'a Server, id: RequestId, upstream_request: Rc<UpstreamRequest>, received_at: Time,
+    ) -> AbandonmentGuard<'a> {
+        AbandonmentGuard { server, id, upstream_request, received_at, is_answered: false }
+    }
+
     /// The request has its final answer.
     pub fn complete(mut self, outcome: RequestOutcome) {
         self.is_answered = true;
--- a/src/bin/load-balancer-proxy/server/capacity.rs
+++ b/src/bin/load-balancer-proxy/server/capacity.rs
@@ -1,4 +1,4 @@
-//! Limits the open client connections: with every slot taken, connections that bring nothing are closed for new
+//! Limits the open client connections: with every slot taken, inactive connections are closed for new
 //! clients.
 
 use super::client_connection::CloseMode;
@@ -7,7 +7,7 @@
 use load_balancer::Time;
 use std::time::Duration;
 
-/// Least time between two checks with every slot taken: a connection asked to close needs some time for it.
+/// Least time between two checks: a connection that was asked to close needs some time for it.
 const CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
 impl Server {
@@ -16,8 +16,8 @@
         self.connections.borrow().len() >= self.max_connections
     }
 
-    /// With every slot taken, asks the connection that has been idle longest to close, or else those that have
-    /// brought nothing for long enough. Returns when to check again.
+    /// With every slot taken, asks the connection that has been idle longest to close, or else those that
+    /// have been inactive for too long. Returns when to check again.
     pub(super) fn make_capacity(&self) -> Time {
         if !self.is_at_capacity() {
             return Time::NEVER;
@@ -26,7 +26,7 @@
         if self.close_longest_idle() {
             return earliest_check;
         }
-        self.close_unproductive().max(earliest_check)
+        self.close_inactive().max(earliest_check)
     }
 
     /// Asks the connection that has been idle longest to close; `false` if none is idle.
@@ -39,9 +39,9 @@
         true
     }
 
-    /// Asks the connections that have brought nothing for long enough to close; returns when the next one will
-    /// have.
-    fn close_unproductive(&self) -> Time {
+    /// Asks the connections that have been inactive for too long to close; returns when the next one will
+    /// have been.
+    fn close_inactive(&self) -> Time {
         let mut next = Time::NEVER;
         for connection in self.connections.borrow().values() {
             match connection.close_deadline_at_capacity() {
--- a/src/bin/load-balancer-proxy/server/client_connection.rs
+++ b/src/bin/load-balancer-proxy/server/client_connection.rs
@@ -1,4 +1,4 @@
-//! The state of a client connection: what it is doing, when that has lasted too long, and how it is asked to close.
+//! The state of a client connection, its timeouts, and the request to close it.
 
 use crate::clock::{micros, Clock};
 use load_balancer::{Micros, Time};
@@ -7,24 +7,25 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 
-/// A connection that brings nothing for this long is closed, also between requests: each silent peer holds one of few
-/// descriptors. The platform lets go of idle connections after 2 s.
+/// A connection without input for this long is closed, also between requests: silent peers would use up the
+/// descriptors. A proxy may close an idle connection after 2 s.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(2100);
-/// A request has to be complete this long after its connection was opened, or after its own first byte if others
-/// were answered before it. A peer that never completes one is owed its end within 3 s; the rest covers a stall.
+/// Time for a request to be complete, from the opening of its connection, or from its own first byte if
+/// others were answered before it. A peer that never completes one is owed an error within 3 s; the rest
+/// covers a stall.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(2750);
-/// At capacity, a connection that has brought nothing for this long is closed: a client's request follows its
-/// connection by far less.
+/// At capacity, a connection without any input is closed after this time: a client sends its request far
+/// sooner.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(100);
-/// At capacity, a request of which no byte has come for this long is rejected.
+/// At capacity, a request without further input is rejected after this time.
 const STALLED_REQUEST_TIMEOUT: Duration = Duration::from_millis(450);
 
-/// A first byte that is read this soon after the accept may have come before it.
+/// A first byte that is read this soon after the accept may have arrived before it.
 const IMMEDIATE_READ: Duration = Duration::from_millis(40);
 /// The longest wait for the accept that a request's time left is reduced by.
 const MAX_ACCEPT_DELAY: Duration = Duration::from_millis(300);
 
-/// When bytes came from a client.
+/// When a client sent something.
 pub struct Activity {
     clock: Clock,
     /// The first since the last answer.
@@ -33,7 +34,7 @@
 }
 
 impl Activity {
-    /// No byte has come yet.
+    /// Nothing was sent yet.
     pub fn new(clock: Clock) -> Activity {
         Activity { clock, first_byte_at: Cell::default(), last_byte_at: Cell::default() }
     }
@@ -70,7 +71,7 @@
     /// The earliest time at which it may have been opened; it waited from then on until it was accepted.
     opened_at: Time,
     accepted_at: Time,
-    /// When bytes came on it.
+    /// When its client sent something.
     pub activity: Rc<Activity>,
     /// Since when it has been idle between requests.
     idle_since: Cell<Option<Time>>,
@@ -85,7 +86,7 @@
     pub close_requested: Notify,
     /// The request that has begun on it is to be answered with an error.
     pub request_rejected: Notify,
-    /// It has become idle, from which its time counts.
+    /// It has become idle, and its idle timeout begins.
     pub became_idle: Notify,
 }
 
@@ -143,8 +144,8 @@
         (self.accepted_at - self.opened_at).min(micros(MAX_ACCEPT_DELAY))
     }
 
-    /// When it is closed unless its state changes; `None` while a request is handled, whose body has a deadline of
-    /// its own, or once it was asked to close.
+    /// When it is closed unless its state changes; `None` while a request is handled, whose body has a
+    /// deadline of its own, or if it was asked to close and no request has begun.
     pub fn close_deadline(&self) -> Option<CloseDeadline> {
         if self.is_handling_request.get() {
             return None;
@@ -159,8 +160,8 @@
         Some(CloseDeadline { at: self.idle_deadline(), mode: CloseMode::Graceful })
     }
 
-    /// When it is closed at capacity, because it brings nothing. Connections that are idle between requests are closed
-    /// before any of these.
+    /// When it is closed at capacity because it is inactive; `None` where it is idle between requests, as
+    /// those connections are closed first.
     pub fn close_deadline_at_capacity(&self) -> Option<CloseDeadline> {
         if self.close_mode.get().is_some() || self.is_awaiting_answer.get() || self.idle_since().is_some() {
             return None;
@@ -202,12 +203,12 @@
         self.close_mode.get()
     }
 
-    /// Since when it has been idle: nothing has come after its last answer.
+    /// Since when it has been idle: its client has sent nothing after the last answer.
     pub fn idle_since(&self) -> Option<Time> {
         self.idle_since.get().filter(|_| self.activity.first_byte_at.get().is_none())
     }
 
-    /// Nothing has come on it since it was accepted.
+    /// Its client has sent nothing since it was accepted.
     pub fn has_sent_nothing(&self) -> bool {
         self.activity.last_byte_at.get().is_none()
     }
--- a/src/bin/load-balancer-proxy/server/client_socket.rs
+++ b/src/bin/load-balancer-proxy/server/client_socket.rs
@@ -1,5 +1,5 @@
-//! A client's socket, read ahead while a request awaits its answer: hyper then reads no further than the next byte, and
-//! bytes that a client has sent beyond it would hide that the client has disconnected.
+//! A client's socket, read ahead while a request awaits its answer: hyper then reads no further than the next
+//! byte, and bytes that a client has sent beyond it would hide that the client has disconnected.
 
 use super::client_connection::Activity;
 use crate::headers::MAX_BODY_BYTES;
@@ -16,23 +16,32 @@
 use tokio::io::{AsyncRead, ReadBuf};
 use tokio::net::TcpStream;
 
-/// Bytes read ahead that are kept: more than the largest body at once is no request of a client. The rest is read, to
-/// see the end of the stream, and dropped.
+/// Bytes read ahead that are kept: more than the largest body at once is no request of a client. The rest is
+/// read, to see the end of the stream, and dropped.
 const MAX_READ_AHEAD_BYTES: usize = 2 * MAX_BODY_BYTES;
 const READ_BYTES: usize = 4096;
-/// How long the end of a client's stream is waited for: a client closes once it has read the end of the answer, and
-/// peers that do not close hold a descriptor for so long.
+/// How long the end of a client's stream is waited for: a client closes once it has read the end of the
+/// answer, and peers that do not close hold a descriptor for so long.
 const LINGER: Duration = Duration::from_millis(500);
-/// The same for a peer whose request never came whole: it has ceased to send.
+/// The same for a peer whose request was never complete: it has ceased to send.
 const REJECTED_LINGER: Duration = Duration::from_millis(100);
-/// The answer to a request that never came whole.
+/// The answer to a request that was never complete.
 const REJECTION: &[u8] = b"HTTP/1.1 408 Request Timeout\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
 
+/// What a connection ends with.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub enum LastResponse {
+    /// The answer to a complete request.
+    Answer,
+    /// An error for a request that was never complete.
+    Rejection,
+}
+
 struct Socket {
     io: TokioIo<TcpStream>,
     /// Bytes that were read ahead of hyper.
     read_ahead: BytesMut,
-    /// More was sent than is kept: what comes after that is lost.
+    /// More was sent than is kept; the rest is lost.
     is_truncated: bool,
     has_written: bool,
     activity: Rc<Activity>,
@@ -68,16 +77,20 @@
         let written = poll_fn(|cx| Pin::new(&mut self.0.borrow_mut().io).poll_write(cx, REJECTION));
         let _ = tokio::time::timeout(REJECTED_LINGER, written).await;
         self.0.borrow_mut().has_written = true;
-        self.linger(true).await;
+        self.linger(LastResponse::Rejection).await;
     }
 
-    /// Ends the connection after its last answer: reads what still comes, up to the end of the client's stream. A socket
-    /// closed with unread bytes resets the connection, which may destroy the answer on its way.
-    pub async fn linger(&self, is_rejected: bool) {
-        let timeout = if is_rejected { REJECTED_LINGER } else { LINGER };
+    /// Ends the connection after its last answer: reads what still comes, up to the end of the client's
+    /// stream. A socket closed with unread bytes resets the connection, which may destroy the answer on its
+    /// way.
+    pub async fn linger(&self, last_response: LastResponse) {
         if !self.0.borrow().has_written {
             return;
         }
+        let timeout = match last_response {
+            LastResponse::Answer => LINGER,
+            LastResponse::Rejection => REJECTED_LINGER,
+        };
         let end = async {
             let shutdown = poll_fn(|cx| Pin::new(&mut self.0.borrow_mut().io).poll_shutdown(cx)).await;
             if shutdown.is_ok() {
@@ -115,7 +128,7 @@
         if !socket.read_ahead.is_empty() {
             socket.activity.record_read();
         }
-        // A truncated stream ends here for hyper, which closes the connection after the answer in hand.
+        // A truncated stream ends here for hyper, which closes the connection after the current answer.
         let length = socket.read_ahead.len().min(buffer.remaining());
         buffer.put_slice(&socket.read_ahead[..length]);
         socket.read_ahead.advance(length);
--- a/src/bin/load-balancer-proxy/server/connection_task.rs
+++ b/src/bin/load-balancer-proxy/server/connection_task.rs
@@ -1,7 +1,7 @@
 //! One client connection from its accept to its end.
 
 use super::client_connection::{ClientConnection, CloseMode};
-use super::client_socket::ClientSocket;
+use super::client_socket::{ClientSocket, LastResponse};
 use super::listener::Accepted;
 use super::Server;
 use hyper::server::conn::http1;
@@ -30,7 +30,7 @@
 enum CloseStep {
     /// Nothing yet: a request on it still has to be answered.
     Wait,
-    /// The request in hand, if there is one, is the last.
+    /// The current request, if there is one, is the last.
     StopAfterRequest,
     /// The request that was begun is answered with an error.
     Reject,
@@ -41,7 +41,7 @@
 impl CloseStep {
     fn of(client: &ClientConnection) -> CloseStep {
         if client.has_sent_nothing() {
-            return CloseStep::Drop; // it has asked for nothing: no answer is owed
+            return CloseStep::Drop; // no request has begun: no answer is owed
         }
         match client.close_mode() {
             Some(CloseMode::RejectRequest)
@@ -56,6 +56,13 @@
     }
 }
 
+fn last_response(client: &ClientConnection) -> LastResponse {
+    match client.close_mode() {
+        Some(CloseMode::RejectRequest) => LastResponse::Rejection,
+        _ => LastResponse::Answer,
+    }
+}
+
 impl Server {
     /// Serves an accepted connection in a task of its own.
     pub(super) fn spawn_connection(self: Rc<Self>, accepted: Accepted) {
@@ -91,7 +98,7 @@
                     if let Err(error) = result {
                         tracing::debug!(%error, "client connection failed");
                     }
-                    return socket.linger(client.close_mode() == Some(CloseMode::RejectRequest)).await;
+                    return socket.linger(last_response(client)).await;
                 }
                 () = &mut disconnected => return,
                 () = client.close_requested.notified() => {}
--- a/src/bin/load-balancer-proxy/server/graceful_shutdown.rs
+++ b/src/bin/load-balancer-proxy/server/graceful_shutdown.rs
@@ -11,12 +11,13 @@
 
 /// Connections are accepted for this long after SIGTERM: clients still open some.
 const ACCEPT_PERIOD: Duration = Duration::from_millis(500);
-/// The longest deadline of a request that is waited for: SIGKILL follows it by 0.7 s.
+/// The longest deadline of a request that is waited for. SIGKILL follows it by 0.7 s.
 const MAX_REQUEST_TIME: Micros = Micros(3_000_000);
-/// Answers are due this long after the longest deadline: what is left to SIGKILL covers a stall of 0.15 s and the
-/// way to the client.
+/// Time for answers after the longest deadline; the rest up to SIGKILL covers a stall of 0.15 s and the way
+/// to the client.
 const ANSWER_PERIOD: Micros = Micros(500_000);
-/// Time to write the last rejections. It counts from then on: a stalled process has not written them before.
+/// Time to write the last rejections. It starts with them: a process that was stalled until then has written
+/// none.
 const REJECTION_PERIOD: Duration = Duration::from_millis(100);
 
 /// When the listener is closed if the shutdown begins now.
@@ -25,11 +26,11 @@
 }
 
 impl Server {
-    /// Begins the shutdown and tells the dispatcher; returns the deadline of all answers.
+    /// Begins the shutdown and notifies the dispatcher; returns the deadline of all answers.
     pub(super) fn begin_shutdown(&self) -> Time {
         self.is_shutting_down.set(true);
         let longest_deadline = self.settings.borrow().longest;
-        let signalled_at = self.clock.now().saturating_sub(self.stall_detector.unseen());
+        let signalled_at = self.clock.now().saturating_sub(self.stall_detector.unobserved_time());
         let deadline = signalled_at + longest_deadline.min(MAX_REQUEST_TIME) + ANSWER_PERIOD;
         self.notify_dispatcher(DispatcherMessage::ShutdownStarted { deadline });
         deadline
@@ -37,7 +38,7 @@
 
     /// Serves what the system has accepted and what is open, up to the deadline; rejects what is left then.
     pub(super) async fn finish(self: &Rc<Self>, acceptor: Acceptor, deadline: Time) {
-        let queue = acceptor.into_queue().inspect_err(|e| tracing::error!(error = %e, "listen queue lost"));
+        let queue = acceptor.into_queue().inspect_err(|error| tracing::error!(%error, "listen queue lost"));
         let mut queue = queue.ok();
         let deadline = self.clock.instant(deadline);
         if tokio::time::timeout_at(deadline, self.drain(&mut queue)).await.is_ok() {
--- a/src/bin/load-balancer-proxy/server/listener.rs
+++ b/src/bin/load-balancer-proxy/server/listener.rs
@@ -83,8 +83,8 @@
 }
 
 impl ListenQueue {
-    /// The next connection, if there is one; waits while resources for it are exhausted. Dropped before it is ready, it
-    /// loses none.
+    /// The next connection, if there is one; waits while resources for it are exhausted. Dropped before it is
+    /// ready, it loses none.
     pub async fn next(&mut self) -> Option<Accepted> {
         loop {
             self.backoff.wait().await;
--- a/src/bin/load-balancer-proxy/server/mod.rs
+++ b/src/bin/load-balancer-proxy/server/mod.rs
@@ -1,5 +1,5 @@
-//! The client side of the proxy: accepts client connections, checks requests, hands them to the dispatcher and
-//! writes the final answers.
+//! The client side of the proxy: accepts client connections, checks requests, hands them to the dispatcher
+//! and writes the final answers.
 
 mod abandonment_guard;
 mod capacity;
@@ -34,7 +34,7 @@
 pub struct ServerHandles {
     /// The clock of the process.
     pub clock: Clock,
-    /// Tells how long input may have waited before the event loop saw it.
+    /// Knows how long input may have waited before the event loop polled it.
     pub stall_detector: StallDetector,
     /// Where requests go.
     pub dispatcher: mpsc::UnboundedSender<DispatcherMessage>,
@@ -46,7 +46,7 @@
 pub struct Server {
     clock: Clock,
     stall_detector: StallDetector,
-    /// Replaced in one step with the message that tells the dispatcher: no borrow outlives an await point.
+    /// Replaced in one step with the message that notifies the dispatcher: no borrow outlives an await point.
     settings: RefCell<Arc<Settings>>,
     /// Client connections that may be open.
     max_connections: usize,
@@ -94,9 +94,9 @@
         self.settings.replace(settings)
     }
 
-    /// Sends a message to the dispatcher.
+    /// Sends a message to the dispatcher; one that has ended receives no more, and its end was logged.
     pub fn notify_dispatcher(&self, message: DispatcherMessage) {
-        let _ = self.dispatcher.send(message); // fails only when the dispatcher has ended, which is logged there
+        let _ = self.dispatcher.send(message);
     }
 
     /// Accepts connections until some time after the shutdown signal; returns the deadline of all answers.
--- a/src/bin/load-balancer-proxy/server/readiness.rs
+++ b/src/bin/load-balancer-proxy/server/readiness.rs
@@ -1,4 +1,4 @@
-//! The readiness probe: tells the platform whether the proxy can be sent requests.
+//! The readiness probe: whether the proxy can be sent requests.
 
 use super::responses::{plain, ServerResponse};
 use super::Server;
--- a/src/bin/load-balancer-proxy/server/request_error.rs
+++ b/src/bin/load-balancer-proxy/server/request_error.rs
@@ -31,7 +31,7 @@
     /// It does not say how much time is left.
     #[error("expected X-Time-Left-Ms")]
     MissingTimeLeft,
-    /// A header that holds a number holds something else.
+    /// A header that has to hold a number holds something else.
     #[error("expected a whole number in X-Time-Left-Ms and X-Weight-Hint")]
     InvalidNumber,
     /// Its body is longer than [`MAX_BODY_BYTES`](crate::headers::MAX_BODY_BYTES).
--- a/src/bin/load-balancer-proxy/server/request_handler.rs
+++ b/src/bin/load-balancer-proxy/server/request_handler.rs
@@ -25,7 +25,7 @@
 struct CompleteRequest {
     received_at: Time,
     /// How long it may have waited before it was read.
-    unobserved: Micros,
+    unobserved_time: Micros,
     parsed: ParsedRequest,
     head: Parts,
     body: Bytes,
@@ -60,7 +60,7 @@
         &self, request: Request<Incoming>, client: &ClientConnection,
     ) -> Result<CompleteRequest, RequestError> {
         let received_at = self.clock.now();
-        let unobserved = Micros(self.stall_detector.unseen().0 + client.accept_delay().0);
+        let unobserved_time = Micros(self.stall_detector.unobserved_time().0 + client.accept_delay().0);
         let (head, body) = request.into_parts();
         let mut parsed = ParsedRequest::parse(&self.settings.borrow(), &head, body.size_hint().exact())?;
         if body.size_hint().lower() > MAX_BODY_BYTES as u64 {
@@ -68,11 +68,11 @@
         }
         let deadline = client.request_read_deadline().min(received_at + parsed.time_left);
         let body = self.read_body(body, client, deadline).await?;
-        // A reload during the body: the request is dispatched under the settings in force at its last byte.
+        // After a reload during the body: a request belongs to the settings in force at its last byte.
         if parsed.settings_version != self.settings.borrow().version {
             parsed = ParsedRequest::parse(&self.settings.borrow(), &head, Some(body.len() as u64))?;
         }
-        Ok(CompleteRequest { received_at, unobserved, parsed, head, body })
+        Ok(CompleteRequest { received_at, unobserved_time, parsed, head, body })
     }
 
     async fn read_body(
@@ -95,16 +95,10 @@
 
     /// Sends a request to the dispatcher and waits for its final answer.
     async fn forward(&self, request: CompleteRequest, client: &ClientConnection) -> ServerResponse {
-        let CompleteRequest { received_at, unobserved, parsed, head, body } = request;
-        let upstream_request = Rc::new(UpstreamRequest::new(upstream_head(head), body, unobserved));
+        let CompleteRequest { received_at, unobserved_time, parsed, head, body } = request;
+        let upstream_request = Rc::new(UpstreamRequest::new(upstream_head(head), body, unobserved_time));
         let id = RequestId(self.next_id());
-        let guard = AbandonmentGuard {
-            id,
-            upstream_request: upstream_request.clone(),
-            received_at,
-            server: self,
-            is_answered: false,
-        };
+        let guard = AbandonmentGuard::new(self, id, upstream_request.clone(), received_at);
         tracing::debug!(
             request = id.0,
             correlation_id = %upstream_request.correlation(),
@@ -125,7 +119,8 @@
         client.is_awaiting_answer.set(true);
         let answer = answer.await;
         client.is_awaiting_answer.set(false);
-        complete(guard, answer.unwrap_or(FinalAnswer::Failed)) // without its dispatcher the proxy fails requests
+        // Without a dispatcher, which may have panicked, every request fails.
+        complete(guard, answer.unwrap_or(FinalAnswer::Failed))
     }
 }
 
--- a/src/bin/load-balancer-proxy/server/responses.rs
+++ b/src/bin/load-balancer-proxy/server/responses.rs
@@ -8,7 +8,7 @@
 
 const MICROS_PER_SECOND: u64 = 1_000_000;
 
-/// A response to a client, held whole.
+/// A response to a client, with its whole body.
 pub(super) type ServerResponse = Response<Full<Bytes>>;
 
 /// A response with a text as its body.
--- a/src/bin/load-balancer-proxy/stall_detector.rs
+++ b/src/bin/load-balancer-proxy/stall_detector.rs
@@ -1,64 +1,88 @@
-//! How long something may have waited before the event loop saw it: while the process is held up by the machine,
-//! clients' time runs on.
+//! Detects stalls of the process, and tells how long input may have waited before the event loop polled it:
+//! clients' deadlines run on while the machine does not run the process.
 
 use crate::clock::Clock;
 use load_balancer::{Micros, Time};
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-/// The loop looks for events at least this often.
-const LONGEST_WAIT: Duration = Duration::from_millis(20);
-/// A longer time between two looks tells that the process was held up.
-const HOLD_UP_FROM: Micros = Micros(40_000);
-/// What came meanwhile is read so long after it at the latest.
-const CATCHING_UP: Micros = Micros(20_000);
-/// A process is held up for 0.15 s at a time at most; with the wait before it, nothing is unseen for longer.
-const LONGEST_UNSEEN: Micros = Micros(170_000);
+/// The event loop polls at least this often.
+const MAX_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// From this time between two polls on the process was stalled.
+const MIN_STALL: Micros = Micros(40_000);
+/// Input that arrived during a stall is read this long after it at the latest.
+const CATCH_UP_TIME: Micros = Micros(20_000);
+/// The longest stall of 0.15 s, and the poll interval before it.
+const MAX_UNOBSERVED: Micros = Micros(170_000);
 
-/// When the loop asked the system for events.
-struct Looks {
+/// A time in which the process did not run.
+struct Stall {
+    /// The last poll before it.
+    start: Time,
+    /// The first poll after it.
+    end: Time,
+}
+
+/// When the event loop asked the system for events.
+struct Polls {
     last: Time,
-    before: Time,
-    /// The looks before and after the last hold-up.
-    hold_up: Option<(Time, Time)>,
+    second_last: Time,
+    last_stall: Option<Stall>,
+}
+
+impl Polls {
+    fn record(&mut self, now: Time) {
+        if now - self.last >= MIN_STALL {
+            self.last_stall = Some(Stall { start: self.last, end: now });
+        }
+        self.second_last = self.last;
+        self.last = now;
+    }
+
+    /// Since when input that is read now may have waited.
+    fn unobserved_since(&self, now: Time) -> Time {
+        match &self.last_stall {
+            Some(stall) if now - stall.end < CATCH_UP_TIME => stall.start.min(self.second_last),
+            _ => self.second_last,
+        }
+    }
 }
 
 /// Watches the event loop of the process.
 #[derive(Clone)]
 pub struct StallDetector {
     clock: Clock,
-    looks: Arc<Mutex<Looks>>,
+    /// Shared with the hook of the runtime, which has to be `Send`.
+    polls: Arc<Mutex<Polls>>,
 }
 
 impl StallDetector {
+    /// Takes the event loop as polled now.
     pub fn new(clock: Clock) -> StallDetector {
         let now = clock.now();
-        StallDetector { clock, looks: Arc::new(Mutex::new(Looks { last: now, before: now, hold_up: None })) }
+        let polls = Polls { last: now, second_last: now, last_stall: None };
+        StallDetector { clock, polls: Arc::new(Mutex::new(polls)) }
     }
 
-    /// The loop has just asked the system for events: to be called each time.
-    pub fn looked(&self) {
+    /// Records that the event loop has just polled the system: to be called each time.
+    pub fn record_poll(&self) {
         let now = self.clock.now();
-        let mut looks = self.looks.lock().unwrap_or_else(PoisonError::into_inner);
-        if now - looks.last >= HOLD_UP_FROM {
-            looks.hold_up = Some((looks.last, now));
-        }
-        (looks.before, looks.last) = (looks.last, now);
+        self.polls.lock().unwrap_or_else(PoisonError::into_inner).record(now);
     }
 
-    /// Keeps the loop from waiting for long. Runs for ever.
-    pub async fn keep_looking(self) {
+    /// Wakes the event loop for ever, so that it polls at least every [`MAX_POLL_INTERVAL`].
+    pub async fn keep_polling(self) {
         loop {
-            tokio::time::sleep(LONGEST_WAIT).await;
+            tokio::time::sleep(MAX_POLL_INTERVAL).await;
         }
     }
 
-    /// How long what is read now may have been there unseen: since the look before the one that brought it, or since
-    /// the one before a hold-up that has just ended. That one may end with a look that brings nothing.
-    pub fn unseen(&self) -> Micros {
+    /// How long input that is read now may have waited unobserved: since the poll before the one that brought
+    /// it, or since the one before a stall that has just ended, which may end with a poll that brings
+    /// nothing.
+    pub fn unobserved_time(&self) -> Micros {
         let now = self.clock.now();
-        let looks = self.looks.lock().unwrap_or_else(PoisonError::into_inner);
-        let held_up = looks.hold_up.filter(|(_, end)| now - *end < CATCHING_UP).map(|(start, _)| start);
-        (now - held_up.unwrap_or(looks.before).min(looks.before)).min(LONGEST_UNSEEN)
+        let polls = self.polls.lock().unwrap_or_else(PoisonError::into_inner);
+        (now - polls.unobserved_since(now)).min(MAX_UNOBSERVED)
     }
 }
--- a/src/bin/load-balancer-proxy/startup.rs
+++ b/src/bin/load-balancer-proxy/startup.rs
@@ -40,26 +40,26 @@
     Settings(#[from] ConfigError),
     /// The event loop was not created.
     #[error("runtime: {0}")]
-    Runtime(io::Error),
+    Runtime(#[source] io::Error),
     /// A signal handler was not installed.
-    #[error("{name}: {error}")]
+    #[error("{name}: {source}")]
     SignalHandler {
         /// The signal.
         name: &'static str,
         /// What the system said.
-        error: io::Error,
+        source: io::Error,
     },
-    /// The address to listen on is taken or not of this machine.
-    #[error("listen: expected a free address, got {address}: {error}")]
+    /// The address to listen on is in use or belongs to another machine.
+    #[error("listen: expected a free address, got {address}: {source}")]
     Listen {
         /// The address.
         address: SocketAddr,
         /// What the system said.
-        error: io::Error,
+        source: io::Error,
     },
-    /// The system does not tell the address listened on.
+    /// The address listened on is unknown.
     #[error("listen: {0}")]
-    LocalAddress(io::Error),
+    LocalAddress(#[source] io::Error),
 }
 
 /// The signals that the proxy handles.
@@ -71,7 +71,8 @@
 
 impl Signals {
     fn install() -> Result<Signals, StartupError> {
-        let install = |kind, name| signal(kind).map_err(|error| StartupError::SignalHandler { name, error });
+        let install =
+            |kind, name| signal(kind).map_err(|source| StartupError::SignalHandler { name, source });
         Ok(Signals {
             terminate: install(SignalKind::terminate(), "SIGTERM")?,
             interrupt: install(SignalKind::interrupt(), "SIGINT")?,
@@ -80,13 +81,14 @@
     }
 }
 
-/// How the descriptors of the process are shared out, once the reserved ones are taken off.
+/// How many connections of each side may be open.
 struct ConnectionLimits {
     clients: usize,
     backends: usize,
 }
 
 impl ConnectionLimits {
+    /// Half of the descriptors that are not reserved for each side.
     fn of(descriptors: usize) -> ConnectionLimits {
         let available = descriptors - RESERVED_DESCRIPTORS;
         let clients = available / 2;
@@ -103,6 +105,10 @@
 }
 
 /// Runs the proxy until it has shut down.
+///
+/// # Errors
+///
+/// [`StartupError`] if it could not start; nothing fails after that.
 pub fn run(config: Config) -> Result<(), StartupError> {
     let clock = Clock::new();
     let stall_detector = StallDetector::new(clock);
@@ -114,14 +120,14 @@
     let stall_detector = stall_detector.clone();
     tokio::runtime::Builder::new_current_thread()
         .enable_all()
-        .on_thread_unpark(move || stall_detector.looked())
+        .on_thread_unpark(move || stall_detector.record_poll())
         .build()
 }
 
 async fn serve(mut config: Config, clock: Clock, stall_detector: StallDetector) -> Result<(), StartupError> {
     let signals = Signals::install()?;
     let listener = open_listener(config.listen)?;
-    tokio::task::spawn_local(stall_detector.clone().keep_looking());
+    tokio::task::spawn_local(stall_detector.clone().keep_polling());
     let limits = ConnectionLimits::of(config.sockets);
     let (dispatcher, messages) = mpsc::unbounded_channel();
     let shared = SharedHandles { clock, dispatcher, resubscribe: Rc::default(), status: Rc::default() };
@@ -141,10 +147,10 @@
     Ok(())
 }
 
-/// Listens, and reports on which address: with port 0 this line alone tells the port.
+/// Listens, and logs the address: with port 0 this event alone says which port it is.
 fn open_listener(address: SocketAddr) -> Result<TcpListener, StartupError> {
     let listener =
-        retry_blocking(|| listen(address)).map_err(|error| StartupError::Listen { address, error })?;
+        retry_blocking(|| listen(address)).map_err(|source| StartupError::Listen { address, source })?;
     let local_address = listener.local_addr().map_err(StartupError::LocalAddress)?;
     tracing::info!("listening on {local_address}");
     Ok(listener)
--- a/src/net/connect.rs
+++ b/src/net/connect.rs
@@ -31,8 +31,8 @@
     pub slot: Slot,
 }
 
-/// Connects within `timeout`, once `reserve` yields a slot for the connection. Attempts that fail for want of this
-/// machine's resources are repeated until then.
+/// Connects within `timeout`, once `reserve` yields a slot for the connection. Attempts that fail for want of
+/// this machine's resources are repeated until then.
 ///
 /// # Errors
 ///
--- a/src/net/resource_exhaustion.rs
+++ b/src/net/resource_exhaustion.rs
@@ -1,5 +1,5 @@
-//! Tells errors that say that this machine's resources are exhausted from those that concern one connection or the
-//! other side, and repeats operations that fail with the former.
+//! Tells errors that say that this machine's resources are exhausted from those that concern one connection
+//! or the other side, and repeats operations that fail with the former.
 
 use std::io;
 use std::time::{Duration, Instant};
