--- a/src/bin/load-balancer-proxy/upstream/connection_pool.rs
+++ b/src/bin/load-balancer-proxy/upstream/connection_pool.rs
@@ -5,7 +5,7 @@
 use super::connection::Connection;
 use super::socket_budget::{SocketBudget, SocketSlot};
 use crate::clock::{duration, Clock};
-use load_balancer::net::dial::{self, DialError};
+use load_balancer::net::connect::{connect, ConnectError, Connected};
 use load_balancer::{Micros, Outcome, Time};
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -21,23 +21,23 @@
 
 /// Why no connection was opened.
 #[derive(Debug, thiserror::Error)]
-pub(super) enum ConnectError {
+pub(super) enum OpenError {
     /// No socket was connected.
     #[error("{0}")]
-    Dial(DialError),
+    Connect(ConnectError),
     /// The connection ended before it could take a request.
     #[error("{0}")]
     Handshake(hyper::Error),
 }
 
-impl ConnectError {
+impl OpenError {
     /// The outcome of the attempt that needed the connection.
     pub fn outcome(&self) -> Outcome {
         match self {
-            ConnectError::Dial(DialError::NoMeans) => Outcome::NotSent, // it says nothing against the backend
-            ConnectError::Dial(DialError::Refused(_) | DialError::TimedOut) | ConnectError::Handshake(_) => {
-                Outcome::ConnectFailed
-            }
+            // It says nothing against the backend.
+            OpenError::Connect(ConnectError::ResourcesExhausted) => Outcome::NotSent,
+            OpenError::Connect(ConnectError::Failed(_) | ConnectError::TimedOut)
+            | OpenError::Handshake(_) => Outcome::ConnectFailed,
         }
     }
 }
@@ -54,7 +54,7 @@
     /// The time for the upstream side and the dispatcher.
     pub clock: Clock,
     /// A connection that is not open after this time counts as failed.
-    dial_timeout: Cell<Micros>,
+    connect_timeout: Cell<Micros>,
     /// An idle connection is closed after this time.
     idle_limit: Cell<Micros>,
     sockets: SocketBudget,
@@ -66,22 +66,22 @@
     /// `backend_idle_limit` is when a backend closes an idle connection; `max_sockets` may be held at once,
     /// idle ones included.
     pub fn new(
-        clock: Clock, dial_timeout: Micros, backend_idle_limit: Micros, max_sockets: usize,
+        clock: Clock, connect_timeout: Micros, backend_idle_limit: Micros, max_sockets: usize,
     ) -> ConnectionPool {
         let pool = ConnectionPool {
             clock,
-            dial_timeout: Cell::default(),
+            connect_timeout: Cell::default(),
             idle_limit: Cell::default(),
             sockets: SocketBudget::new(max_sockets),
             with_idle: RefCell::default(),
         };
-        pool.set_timeouts(dial_timeout, backend_idle_limit);
+        pool.set_timeouts(connect_timeout, backend_idle_limit);
         pool
     }
 
     /// Sets the times for the connections that are opened or found idle from now on.
-    pub fn set_timeouts(&self, dial_timeout: Micros, backend_idle_limit: Micros) {
-        self.dial_timeout.set(dial_timeout);
+    pub fn set_timeouts(&self, connect_timeout: Micros, backend_idle_limit: Micros) {
+        self.connect_timeout.set(connect_timeout);
         self.idle_limit.set(backend_idle_limit.times(IDLE_LIMIT_FRACTION).min(MAX_IDLE_TIME));
     }
 
@@ -98,11 +98,11 @@
     }
 
     /// A connection to the backend: one that is kept for reuse, else a new one.
-    pub(super) async fn acquire(&self, upstream: &Upstream) -> Result<PooledConnection, ConnectError> {
+    pub(super) async fn acquire(&self, upstream: &Upstream) -> Result<PooledConnection, OpenError> {
         match self.reuse_idle(upstream).await {
             Some(connection) => Ok(PooledConnection { connection, is_reused: true }),
             None => {
-                let connection = self.connect(upstream.target.address).await?;
+                let connection = self.open(upstream.target.address).await?;
                 Ok(PooledConnection { connection, is_reused: false })
             }
         }
@@ -143,16 +143,16 @@
         self.clock.now() - since < self.idle_limit.get()
     }
 
-    async fn connect(&self, address: SocketAddr) -> Result<Connection, ConnectError> {
-        let timeout = duration(self.dial_timeout.get());
-        let (stream, slot) = match dial::dial(address, timeout, || self.reserve_socket()).await {
-            Ok(dialled) => dialled,
+    async fn open(&self, address: SocketAddr) -> Result<Connection, OpenError> {
+        let timeout = duration(self.connect_timeout.get());
+        let Connected { stream, slot } = match connect(address, timeout, || self.reserve_socket()).await {
+            Ok(connected) => connected,
             Err(error) => {
                 tracing::debug!(%address, %error, "connect failed");
-                return Err(ConnectError::Dial(error));
+                return Err(OpenError::Connect(error));
             }
         };
-        Connection::open(stream, slot).await.map_err(ConnectError::Handshake)
+        Connection::open(stream, slot).await.map_err(OpenError::Handshake)
     }
 
     /// A socket of the budget, if there is one left or an idle connection can be closed for it.
