--- a/scale/src/hollow.rs
+++ b/scale/src/hollow.rs
@@ -9,7 +9,7 @@
 use hdrhistogram::Histogram;
 use load_balancer::discovery::start_times::StartTimes;
 use load_balancer::discovery::{Target, Terms, Watch};
-use load_balancer::wire::settings::{read, Key};
+use load_balancer::wire::settings::SettingsMessage;
 use load_balancer::*;
 use rand_core::SeedableRng;
 use rand_pcg::Pcg32;
@@ -285,7 +285,8 @@
 
 impl Proxy {
     fn new(position: u32, shared: Shared) -> Result<Proxy, String> {
-        let (config, _) = read(&Key::root(&settings(&shared.point, position)))?;
+        let message = SettingsMessage::from_value(&settings(&shared.point, position));
+        let config = message.map_err(|e| e.to_string())?.config;
         let seed = shared.point.seed.wrapping_mul(1_000_003).wrapping_add(u64::from(position));
         let clock = Clock::new();
         let (follow, news, watching) = watch_list(&config, &shared, clock);
--- a/scale/src/hollow_point.rs
+++ b/scale/src/hollow_point.rs
@@ -10,7 +10,7 @@
 use crate::real::{costs, nature};
 use crate::report::{Check, Row};
 use crate::site::{backend_name, own_address, Register};
-use load_balancer::wire::settings::number;
+use load_balancer::wire::names::identifier;
 use load_balancer::BackendId;
 use std::rc::Rc;
 use std::sync::Arc;
@@ -77,7 +77,7 @@
 pub async fn play(p: &Point) -> Result<Row, String> {
     let addresses: Vec<_> = (0..p.backends).map(|n| own_address(n, 80)).collect();
     let fleet = Arc::new(Fleet::new(addresses.len(), nature(p), p.seed));
-    let ids = (0..addresses.len()).map(|n| (BackendId(number(&backend_name(n))), n)).collect();
+    let ids = (0..addresses.len()).map(|n| (BackendId(identifier(&backend_name(n))), n)).collect();
     let discovery = Rc::new(Discovery::start(Register::new(p, &addresses), costs(p))?);
     discovery.whole();
     let empty = memory("self");
--- a/scale/src/module.rs
+++ b/scale/src/module.rs
@@ -4,8 +4,8 @@
 use crate::plan::Point;
 use crate::report::Row;
 use crate::site::{own_address, settings, Register};
-use load_balancer::discovery::list;
-use load_balancer::wire::settings::{read, Key};
+use load_balancer::wire::endpoint_list::EndpointList;
+use load_balancer::wire::settings::SettingsMessage;
 use load_balancer::*;
 use rand_core::SeedableRng;
 use rand_pcg::Pcg32;
@@ -52,11 +52,13 @@
 }
 
 fn one(p: &Point, seed: u64) -> Result<Times, String> {
-    let (config, _) = read(&Key::root(&settings(p, 0)))?;
+    let message = SettingsMessage::from_value(&settings(p, 0));
+    let config = message.map_err(|e| e.to_string())?.config;
     let addresses: Vec<_> = (0..p.backends).map(|n| own_address(n, 80)).collect();
     let whole: serde_json::Value = serde_json::from_slice(&Register::new(p, &addresses).answer(None).body)
         .map_err(|e| format!("the list: {e}"))?;
-    let backends: Vec<Backend> = list(&Key::root(&whole))?.targets.into_iter().map(|t| t.backend).collect();
+    let list = EndpointList::from_value(&whole).map_err(|e| e.to_string())?;
+    let backends: Vec<Backend> = list.endpoints.into_iter().map(|entry| entry.backend).collect();
     let mut bench = Bench::new(p, config, seed)?;
     let event =
         Event::EndpointListChanged { update: EndpointListUpdate::Snapshot, backends: backends.clone() };
--- a/scale/tests/discovery.rs
+++ b/scale/tests/discovery.rs
@@ -66,8 +66,8 @@
     assert_eq!((whole["snapshot"].as_bool(), whole["index"].as_u64()), (Some(true), Some(1)));
     let endpoints = whole["endpoints"].as_array().expect("lines");
     assert_eq!(endpoints.len(), LINES as usize);
-    let read = load_balancer::discovery::list(&load_balancer::wire::settings::Key::root(&whole));
-    assert_eq!(read.map(|l| l.targets.len()), Ok(LINES as usize), "the proxy's own reader takes it");
+    let read = load_balancer::wire::endpoint_list::EndpointList::from_value(&whole);
+    assert_eq!(read.map(|l| l.endpoints.len()), Ok(LINES as usize), "the proxy's own reader takes it");
     let began = Instant::now();
     let mut watch = send(discovery.address(), "/api/targets?after=1&wait_ms=9000");
     std::thread::sleep(Duration::from_millis(100));
--- a/src/bin/load-balancer-proxy/config.rs
+++ b/src/bin/load-balancer-proxy/config.rs
@@ -1,21 +1,50 @@
-//! `$BALANCER_CONFIG` into a checked struct.
+//! The configuration of the proxy, from the file that `$BALANCER_CONFIG` names.
 
-use load_balancer::discovery::{self, List};
 use load_balancer::net::failures;
-use load_balancer::wire::settings::{self, Key, Names};
+use load_balancer::wire::endpoint_list::EndpointList;
+use load_balancer::wire::names::Names;
+use load_balancer::wire::proxy_config::{ProxyConfigMessage, ProxySettingsMessage};
+use load_balancer::wire::WireError;
 use load_balancer::Micros;
+use std::io;
 use std::net::SocketAddr;
+use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
+const PATH_VARIABLE: &str = "BALANCER_CONFIG";
+
+/// The least time for ceasing to send that the watch goes by: an agent of its own needs some of it to answer.
+const MIN_STOP_SENDING: Micros = Micros(200_000);
+/// The greatest: what a silent agent has to report counts as notified after 6 s in any case.
+const MAX_STOP_SENDING: Micros = Micros(4_000_000);
+
+/// Why there is no configuration.
+#[derive(Debug, thiserror::Error)]
+pub enum ConfigError {
+    /// The environment names no file.
+    #[error("{PATH_VARIABLE}: missing, expected a file name")]
+    PathMissing,
+    /// The file cannot be read.
+    #[error("{PATH_VARIABLE}: expected a readable file, got {path}: {source}")]
+    Unreadable { path: PathBuf, source: io::Error },
+    /// The file is no JSON document.
+    #[error("{PATH_VARIABLE}: expected JSON in {path}: {source}")]
+    NotJson { path: PathBuf, source: serde_json::Error },
+    /// A key is at fault.
+    #[error(transparent)]
+    Document(#[from] WireError),
+}
+
 /// Everything that the deployment tells a proxy.
 pub struct Config {
     pub listen: SocketAddr,
     pub discovery: SocketAddr,
+    /// The seed of the balancer's random draws.
     pub seed: u64,
     /// File descriptors that the process may hold.
     pub sockets: usize,
-    /// The list of backends as this proxy last had it.
-    pub known: Option<List>,
+    /// The endpoint list as this proxy last had it.
+    pub known: Option<EndpointList>,
     pub settings: Arc<Settings>,
 }
 
@@ -24,75 +53,58 @@
 pub struct Settings {
     /// Counts those in force since the start, from 1.
     pub version: u64,
+    /// The configuration of the balancer.
     pub module: load_balancer::Config,
+    /// The names of its classes and tenants.
     pub names: Names,
-    /// Requests that may be open at once; more are turned away before the module.
+    /// Requests that may be open at once; more are rejected before the balancer hears of them.
     pub open_cap: usize,
     /// A backend closes a connection that has been idle for this long, at the latest.
     pub conn_idle: Micros,
     /// A connection that is not up after this time counts as failed.
     pub dial_timeout: Micros,
-    /// So soon after the news sends to a backend that drains must cease.
+    /// Sends to a draining backend must cease this soon after the news of it.
     pub stop_sending: Micros,
     /// The longest time that a client waits.
     pub longest: Micros,
 }
 
-/// Fewer descriptors leave no room for clients, backends and discovery.
-const LEAST_SOCKETS: u32 = 64;
-
-/// Within what the time for ceasing to send is taken: an agent of its own needs some of it to answer, and what a
-/// silent one has to tell counts as told after 6 s in any case.
-const STOP_SENDING: (Micros, Micros) = (Micros(200_000), Micros(4_000_000));
-
-/// Reads the file that `$BALANCER_CONFIG` names.
-pub fn load() -> Result<Config, String> {
-    let path = std::env::var_os("BALANCER_CONFIG").ok_or("BALANCER_CONFIG: missing, expected a file name")?;
-    let path = std::path::Path::new(&path);
+/// Reads the file.
+pub fn load() -> Result<Config, ConfigError> {
+    let path = std::env::var_os(PATH_VARIABLE).ok_or(ConfigError::PathMissing)?;
+    let path = Path::new(&path);
     let text = failures::with_means(|| std::fs::read(path))
-        .map_err(|e| format!("BALANCER_CONFIG: expected a readable file, got {}: {e}", path.display()))?;
-    let value = serde_json::from_slice(&text)
-        .map_err(|e| format!("BALANCER_CONFIG: expected JSON in {}: {e}", path.display()))?;
-    parse(&Key::root(&value))
+        .map_err(|source| ConfigError::Unreadable { path: path.into(), source })?;
+    let document =
+        serde_json::from_slice(&text).map_err(|source| ConfigError::NotJson { path: path.into(), source })?;
+    Ok(Config::from(ProxyConfigMessage::from_value(&document)?))
 }
 
-fn address(key: &Key) -> Result<SocketAddr, String> {
-    let parsed = key.text()?.parse().ok();
-    key.want(parsed, "an IP address and a port")
+impl From<ProxyConfigMessage> for Config {
+    fn from(message: ProxyConfigMessage) -> Config {
+        Config {
+            listen: message.listen,
+            discovery: message.discovery,
+            seed: message.seed,
+            sockets: message.max_file_descriptors as usize,
+            known: message.cached_list,
+            settings: Arc::new(Settings::from(message.settings)),
+        }
+    }
 }
 
-fn parse(root: &Key) -> Result<Config, String> {
-    let (seed, known, settings) = (root.get("seed"), root.get("known"), root.get("settings"));
-    let sockets = root.get("limits").get("sockets");
-    let enough = Some(sockets.count()?).filter(|n| *n >= LEAST_SOCKETS);
-    let (module, names) = settings::read(&settings)?;
-    module
-        .validate()
-        .map_err(|e| format!("settings.{}: expected {}", settings::key_of(e.field), e.expected))?;
-    let limits = settings.get("limits");
-    let mut longest = Micros(0);
-    for class in settings.get("profiles").list()? {
-        longest = longest.max(class.get("deadline_us").micros()?);
+impl From<ProxySettingsMessage> for Settings {
+    fn from(message: ProxySettingsMessage) -> Settings {
+        let stop_sending = message.stop_sending_within.unwrap_or(MIN_STOP_SENDING);
+        Settings {
+            version: 1,
+            module: message.balancer.config,
+            names: message.balancer.names,
+            open_cap: message.max_open_requests as usize,
+            conn_idle: message.idle_timeout,
+            dial_timeout: message.connect_timeout,
+            stop_sending: stop_sending.clamp(MIN_STOP_SENDING, MAX_STOP_SENDING),
+            longest: message.balancer.longest_deadline,
+        }
     }
-    let within = settings.get("rules").get("stop_sending_within_us");
-    let stop_sending = within.or(STOP_SENDING.0, Key::micros)?.clamp(STOP_SENDING.0, STOP_SENDING.1);
-    let hex = u64::from_str_radix(seed.text()?, 16).ok();
-    let settings = Settings {
-        version: 1,
-        module,
-        names,
-        open_cap: limits.get("open_cap").count()? as usize,
-        conn_idle: limits.get("conn_idle_us").micros()?,
-        dial_timeout: limits.get("dial_timeout_us").micros()?,
-        stop_sending,
-        longest,
-    };
-    Ok(Config {
-        listen: address(&root.get("listen"))?,
-        discovery: address(&root.get("discovery"))?,
-        seed: seed.want(hex, "up to 16 hex digits")?,
-        sockets: sockets.want(enough, "at least 64")? as usize,
-        known: known.value().map(|_| discovery::list(&known)).transpose()?,
-        settings: Arc::new(settings),
-    })
 }
--- a/src/bin/load-balancer-proxy/main.rs
+++ b/src/bin/load-balancer-proxy/main.rs
@@ -40,7 +40,7 @@
     let verbose = std::env::var("BALANCER_LOG").ok().and_then(|l| l.parse().ok());
     let level = verbose.unwrap_or(tracing::Level::INFO);
     tracing_subscriber::fmt().with_max_level(level).with_writer(std::io::stderr).with_ansi(false).init();
-    match config::load().and_then(run) {
+    match config::load().map_err(|e| e.to_string()).and_then(run) {
         Ok(()) => ExitCode::SUCCESS,
         Err(text) => {
             eprintln!("load-balancer-proxy: {text}");
@@ -105,9 +105,9 @@
     let (moved, address) = watch::channel(config.discovery);
     let terms = Rc::new(Cell::new(reload::watch_terms(settings)));
     let fixed = reload::Fixed::of(&config);
-    let index = config.known.as_ref().map(|known| known.index);
+    let index = config.known.as_ref().map(|known| known.version);
     // Without a list from before the module still has to hear of its start: only then does it ask for one.
-    let mut known = config.known.map(|known| known.targets).unwrap_or_default();
+    let mut known = config.known.map(|known| known.endpoints).unwrap_or_default();
     let mut starts = StartTimes::default();
     starts.place(clock.now(), true, &mut known);
     let watch = discovery::Watch {
--- a/src/bin/load-balancer-proxy/reload.rs
+++ b/src/bin/load-balancer-proxy/reload.rs
@@ -75,7 +75,7 @@
 
 /// Reads the file and sets it against what is in force.
 fn load(fixed: Fixed, held: &Settings, retired: SyncSender<Arc<Settings>>) -> Result<Loaded, String> {
-    let mut config = config::load()?;
+    let mut config = config::load().map_err(|e| e.to_string())?;
     let kept = fixed.kept(&Fixed::of(&config));
     let discovery = config.discovery;
     let settings = Arc::get_mut(&mut config.settings).ok_or("settings: held elsewhere")?;
--- a/src/bin/simulator-adapter/host.rs
+++ b/src/bin/simulator-adapter/host.rs
@@ -1,6 +1,7 @@
 //! Lines to events, actions to lines.
 
-use load_balancer::wire::settings::{self, number, Key, Names};
+use load_balancer::wire::names::{identifier, Names};
+use load_balancer::wire::settings::{self, SettingsMessage};
 use load_balancer::*;
 use serde_json::Value;
 use std::collections::HashMap;
@@ -142,10 +143,12 @@
             return Err(f.bad(0, "an instance such as proxy-3"));
         }
         let seed = f.whole(1, "a seed")?;
-        let made = settings::read(&Key::root(&f.values[2])).and_then(|(config, names)| {
-            let made = Balancer::new(config, seed).map(|balancer| (balancer, names));
-            made.map_err(|e| format!("{}: expected {}", settings::key_of(e.field), e.expected))
-        });
+        let made = SettingsMessage::from_value(&f.values[2]).and_then(
+            |SettingsMessage { config, names, .. }| {
+                let made = Balancer::new(config, seed).map(|balancer| (balancer, names));
+                made.map_err(|e| settings::unsound(&e))
+            },
+        );
         let instance = match made {
             Ok((balancer, names)) => Some(Instance { balancer, names }),
             Err(text) => {
@@ -180,10 +183,10 @@
         v => Some(v.as_u64().ok_or_else(|| bad("a start time or null"))?),
     };
     let entry = Backend {
-        id: BackendId(number(address)),
-        zone: ZoneId(number(text(0, "a zone")?)),
+        id: BackendId(identifier(address)),
+        zone: ZoneId(identifier(text(0, "a zone")?)),
         cell: CellId(row[1].as_u64().ok_or_else(|| bad("a cell number"))?),
-        kind: KindId(number(text(2, "a kind")?)),
+        kind: KindId(identifier(text(2, "a kind")?)),
         state,
         started_at: started_at.filter(|t| *t > 0).map(Time),
         weight: row[5].as_f64().filter(|w| *w >= 0.0).ok_or_else(|| bad("a weight of 0 or more"))?,
--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -2,11 +2,12 @@
 
 pub mod start_times;
 
+/// The name of [`Endpoint`](crate::wire::endpoint_list::Endpoint) here.
+pub use crate::wire::endpoint_list::Endpoint as Target;
+
 use crate::net::dial::{self, DialError};
-use crate::wire::settings::{number, Key};
-use crate::{
-    Backend, BackendId, BackendState, CellId, DiscoveryMode, EndpointListUpdate, KindId, Time, ZoneId,
-};
+use crate::wire::endpoint_list::{Endpoint, EndpointList};
+use crate::{DiscoveryMode, EndpointListUpdate, Time};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty, Limited};
 use hyper::client::conn::http1::{self, SendRequest};
@@ -20,26 +21,6 @@
 use tokio::sync::{watch, Notify};
 use tokio::task::JoinHandle;
 
-/// A line of the list.
-#[derive(Clone)]
-pub struct Target {
-    /// What the module is told of it.
-    pub backend: Backend,
-    /// Where this proxy reaches it.
-    pub address: SocketAddr,
-}
-
-/// What discovery told.
-#[derive(Clone)]
-pub struct List {
-    /// The version.
-    pub index: u64,
-    /// The whole list, not changes.
-    pub whole: bool,
-    /// The lines.
-    pub targets: Vec<Target>,
-}
-
 /// A pushed list costs its agent nothing. What the agent has counts as told at once, whatever became of a call that
 /// it took while it was down: that such a call is lost has to show, and the next to be answered, within the time in
 /// which sends to a backend that drains must cease. Parts of that for the wait, and for an answer that is due.
@@ -66,36 +47,6 @@
 /// The longest list that is read: some thousand lines.
 const LIST_BYTES: usize = 4 << 20;
 
-/// Reads a list; one bad line refuses the whole of it, for a half-read list would drop backends.
-pub fn list(root: &Key) -> Result<List, String> {
-    let index = root.get("index");
-    let version = index.value().and_then(serde_json::Value::as_u64);
-    let mut targets = Vec::new();
-    for line in root.get("endpoints").list()? {
-        let (status, since) = (line.get("status"), line.get("since_ms"));
-        let state = match status.text()? {
-            "ready" => BackendState::Ready,
-            "draining" => BackendState::Draining,
-            "gone" => BackendState::Removed,
-            _ => return status.want(None, "ready, draining or gone"),
-        };
-        let started = since.want(since.value().map_or(Some(0), |v| v.as_u64()), "whole milliseconds")?;
-        let address = line.get("address");
-        let (cell, weight) = (line.get("group"), line.get("weight"));
-        let backend = Backend {
-            id: BackendId(number(line.get("name").text()?)),
-            zone: ZoneId(number(line.get("zone").text()?)),
-            cell: CellId(cell.want(cell.value().and_then(serde_json::Value::as_u64), "a group number")?),
-            kind: KindId(number(line.get("type").text()?)),
-            state,
-            started_at: Some(Time(started.saturating_mul(1000))).filter(|t| t.0 > 0),
-            weight: weight.want(Some(weight.real()?).filter(|w| *w >= 0.0), "a weight of 0 or more")?,
-        };
-        targets.push(Target { backend, address: address.want(address.text()?.parse().ok(), "an address")? });
-    }
-    Ok(List { index: index.want(version, "a version")?, whole: root.get("snapshot").flag()?, targets })
-}
-
 /// One connection to discovery; dropping it closes it.
 struct Line {
     sender: SendRequest<Empty<Bytes>>,
@@ -128,7 +79,7 @@
     Ok(Line { sender, driving })
 }
 
-async fn ask(line: &mut Line, host: SocketAddr, path: &str) -> Result<List, String> {
+async fn ask(line: &mut Line, host: SocketAddr, path: &str) -> Result<EndpointList, String> {
     line.sender.ready().await.map_err(|e| e.to_string())?;
     let request = Request::get(path)
         .header(hyper::header::HOST, host.to_string())
@@ -141,7 +92,7 @@
         return Err(format!("status {status}"));
     }
     let value = serde_json::from_slice(&body.to_bytes()).map_err(|e| format!("expected JSON: {e}"))?;
-    list(&Key::root(&value))
+    EndpointList::from_value(&value).map_err(|e| e.to_string())
 }
 
 /// What of the settings the watch goes by; from its next call on where it changes.
@@ -172,7 +123,7 @@
     /// When the backends of the list last had started.
     pub starts: StartTimes,
     /// Is called with all news of the list, in order.
-    pub tell: Box<dyn Fn(EndpointListUpdate, Vec<Target>)>,
+    pub tell: Box<dyn Fn(EndpointListUpdate, Vec<Endpoint>)>,
 }
 
 impl Watch {
@@ -246,23 +197,28 @@
                     continue;
                 }
                 // It counts from anew: its changes are to another list than the one held.
-                Heard::Told(list) if !list.whole && self.index.is_some_and(|held| list.index < held) => {
-                    tracing::warn!(version = list.index, "discovery version went back");
+                Heard::Told(list)
+                    if !list.is_snapshot && self.index.is_some_and(|held| list.version < held) =>
+                {
+                    tracing::warn!(version = list.version, "discovery version went back");
                     (self.index, watching) = (None, true);
                     continue;
                 }
                 Heard::Told(mut list) => {
                     tracing::debug!(
-                        version = list.index,
-                        entries = list.targets.len(),
+                        version = list.version,
+                        entries = list.endpoints.len(),
                         "endpoint list received"
                     );
-                    self.starts.place((self.now)(), list.whole, &mut list.targets);
-                    (watching, backoff, self.index) = (true, BACKOFF, Some(list.index));
-                    let update =
-                        if list.whole { EndpointListUpdate::Snapshot } else { EndpointListUpdate::Delta };
-                    if list.whole || !list.targets.is_empty() || !pushed {
-                        (self.tell)(update, list.targets);
+                    self.starts.place((self.now)(), list.is_snapshot, &mut list.endpoints);
+                    (watching, backoff, self.index) = (true, BACKOFF, Some(list.version));
+                    let update = if list.is_snapshot {
+                        EndpointListUpdate::Snapshot
+                    } else {
+                        EndpointListUpdate::Delta
+                    };
+                    if list.is_snapshot || !list.endpoints.is_empty() || !pushed {
+                        (self.tell)(update, list.endpoints);
                     }
                     continue;
                 }
@@ -291,7 +247,7 @@
 
 /// What came of a call.
 enum Heard {
-    Told(List),
+    Told(EndpointList),
     /// Discovery refused, broke off or said what is no list.
     Failed(String),
     /// Nothing in its time.
@@ -303,7 +259,7 @@
 /// One call, on the connection held if it still stands.
 async fn call(
     address: SocketAddr, dial_timeout: Duration, path: &str, line: &mut Option<Line>,
-) -> Result<List, String> {
+) -> Result<EndpointList, String> {
     if line.as_ref().is_none_or(|l| l.sender.is_closed()) {
         // Where the way is cut no connection comes up: the time for an answer is not for waiting on that.
         *line = Some(connect(address, dial_timeout).await?);
--- a/src/discovery/start_times.rs
+++ b/src/discovery/start_times.rs
@@ -5,7 +5,7 @@
 //! comes, and one that comes as news has started no longer ago than the last list without it. A start that is placed
 //! too late only lets its backend warm up too late; one that is placed too early would skip its slow start.
 
-use super::Target;
+use crate::wire::endpoint_list::Endpoint;
 use crate::{BackendId, BackendState, Time};
 use std::collections::{HashMap, HashSet};
 
@@ -27,7 +27,7 @@
 
 impl StartTimes {
     /// Takes news of the list that came at `now`, a whole list or changes (also none), and replaces the starts in it.
-    pub fn place(&mut self, now: Time, whole: bool, targets: &mut [Target]) {
+    pub fn place(&mut self, now: Time, whole: bool, targets: &mut [Endpoint]) {
         for told in targets.iter().filter_map(|t| t.backend.started_at) {
             let ahead = now.0 as i64 - told.0 as i64;
             self.offset = Some(self.offset.map_or(ahead, |least| least.min(ahead)));
