--- a/scale/src/hollow.rs
+++ b/scale/src/hollow.rs
@@ -8,7 +8,7 @@
 use crate::wire;
 use hdrhistogram::Histogram;
 use load_balancer::discovery::start_times::StartTimes;
-use load_balancer::discovery::{Target, Terms, Watch};
+use load_balancer::discovery::{Target, Watch, WatchSettings};
 use load_balancer::wire::settings::SettingsMessage;
 use load_balancer::*;
 use rand_core::SeedableRng;
@@ -255,20 +255,20 @@
 /// Starts the watch of a proxy.
 fn watch_list(config: &Config, shared: &Shared, clock: Clock) -> (Rc<Notify>, News, JoinHandle<()>) {
     let (follow, (tell, news)) = (Rc::new(Notify::new()), mpsc::channel(NEWS));
-    let terms = Terms {
-        dial_timeout: DIAL,
+    let terms = WatchSettings {
+        connect_timeout: DIAL,
         stop_sending: Duration::from_micros(STOP_SENDING_US),
-        place: f64::from(config.proxy_index) / f64::from(config.proxy_count),
+        fleet_position: f64::from(config.proxy_index) / f64::from(config.proxy_count),
     };
     let watch = Watch {
         address: shared.address.clone(),
         mode: config.discovery,
-        terms: Rc::new(Cell::new(terms)),
-        index: None,
-        follow: follow.clone(),
+        settings: Rc::new(Cell::new(terms)),
+        version: None,
+        resubscribe: follow.clone(),
         now: Box::new(move || clock.at(Instant::now())),
-        starts: StartTimes::default(),
-        tell: Box::new(move |update, targets| {
+        start_times: StartTimes::default(),
+        on_update: Box::new(move |update, targets| {
             if tell.try_send((update, targets)).is_err() {
                 tracing::error!("a proxy does not take its news");
             }
--- a/src/bin/load-balancer-proxy/config.rs
+++ b/src/bin/load-balancer-proxy/config.rs
@@ -13,7 +13,7 @@
 
 const PATH_VARIABLE: &str = "BALANCER_CONFIG";
 
-/// The least time for ceasing to send that the watch goes by: an agent of its own needs some of it to answer.
+/// The least time for ceasing to send that the watch goes by: its agent needs some of it to answer.
 const MIN_STOP_SENDING: Micros = Micros(200_000);
 /// The greatest: what a silent agent has to report counts as notified after 6 s in any case.
 const MAX_STOP_SENDING: Micros = Micros(4_000_000);
@@ -48,7 +48,7 @@
     pub settings: Arc<Settings>,
 }
 
-/// What the platform tells a proxy of its task. It may change while the proxy runs and is replaced as a whole.
+/// What may change while the proxy runs; it is replaced as a whole.
 #[derive(PartialEq)]
 pub struct Settings {
     /// Counts those in force since the start, from 1.
--- a/src/bin/load-balancer-proxy/main.rs
+++ b/src/bin/load-balancer-proxy/main.rs
@@ -105,7 +105,7 @@
     let (moved, address) = watch::channel(config.discovery);
     let terms = Rc::new(Cell::new(reload::watch_terms(settings)));
     let fixed = reload::Fixed::of(&config);
-    let index = config.known.as_ref().map(|known| known.version);
+    let version = config.known.as_ref().map(|known| known.version);
     // Without a list from before the module still has to hear of its start: only then does it ask for one.
     let mut known = config.known.map(|known| known.endpoints).unwrap_or_default();
     let mut starts = StartTimes::default();
@@ -113,12 +113,12 @@
     let watch = discovery::Watch {
         address,
         mode: settings.module.discovery,
-        terms: terms.clone(),
-        index,
-        follow: follow.clone(),
+        settings: terms.clone(),
+        version,
+        resubscribe: follow.clone(),
         now: Box::new(move || clock.now()),
-        starts,
-        tell: {
+        start_times: starts,
+        on_update: {
             let inputs = sender.clone();
             Box::new(move |update, targets| {
                 let _ = inputs.send(DispatcherMessage::EndpointList { update, targets });
--- a/src/bin/load-balancer-proxy/reload.rs
+++ b/src/bin/load-balancer-proxy/reload.rs
@@ -4,7 +4,7 @@
 use crate::config::{self, Config, Settings};
 use crate::messages::{DispatcherMessage, SettingsReplacement};
 use crate::server::Server;
-use load_balancer::discovery::Terms;
+use load_balancer::discovery::WatchSettings;
 use load_balancer::net::failures;
 use load_balancer::{ConfigUpdate, DiscoveryMode};
 use std::cell::Cell;
@@ -54,11 +54,11 @@
 }
 
 /// How the watch on discovery goes by the settings.
-pub fn watch_terms(settings: &Settings) -> Terms {
-    Terms {
-        dial_timeout: duration(settings.dial_timeout),
+pub fn watch_terms(settings: &Settings) -> WatchSettings {
+    WatchSettings {
+        connect_timeout: duration(settings.dial_timeout),
         stop_sending: duration(settings.stop_sending),
-        place: f64::from(settings.module.proxy_index) / f64::from(settings.module.proxy_count),
+        fleet_position: f64::from(settings.module.proxy_index) / f64::from(settings.module.proxy_count),
     }
 }
 
@@ -103,7 +103,7 @@
     pub fixed: Fixed,
     pub server: Rc<Server>,
     pub moved: watch::Sender<SocketAddr>,
-    pub terms: Rc<Cell<Terms>>,
+    pub terms: Rc<Cell<WatchSettings>>,
 }
 
 impl Reload {
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -1,7 +1,7 @@
 //! The watch on the list of backends, against a stand-in of discovery on loopback.
 
 use load_balancer::discovery::start_times::StartTimes;
-use load_balancer::discovery::{Target, Terms, Watch};
+use load_balancer::discovery::{Target, Watch, WatchSettings};
 use load_balancer::{DiscoveryMode, EndpointListUpdate, Micros, Time};
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -19,16 +19,16 @@
     let (sender, news) = mpsc::unbounded_channel();
     let (moved, address) = watch::channel(at);
     let follow = Rc::new(Notify::new());
-    let (dial_timeout, stop_sending) = (Duration::from_millis(100), Duration::from_secs(1));
+    let (connect_timeout, stop_sending) = (Duration::from_millis(100), Duration::from_secs(1));
     let watch = Watch {
         address,
         mode: DiscoveryMode::Subscribe(Micros(10_000_000)),
-        terms: Rc::new(Cell::new(Terms { dial_timeout, stop_sending, place: 0.0 })),
-        index: Some(1),
-        follow: follow.clone(),
+        settings: Rc::new(Cell::new(WatchSettings { connect_timeout, stop_sending, fleet_position: 0.0 })),
+        version: Some(1),
+        resubscribe: follow.clone(),
         now: Box::new(Time::default),
-        starts: StartTimes::default(),
-        tell: Box::new(move |update, targets| {
+        start_times: StartTimes::default(),
+        on_update: Box::new(move |update, targets| {
             let _ = sender.send((update, targets));
         }),
     };
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -8,18 +8,20 @@
 
 fn settings() -> Value {
     json!({
-        "blend": {"whole": 0.6, "worst_class": 0.2}, "discovery": "automatic", "position": 0, "group_size": 1,
-        "granularity_us": 5000, "my_zone": "east", "zones": ["east", "west"],
+        "blend": {"whole": 0.6, "worst_class": 0.2}, "discovery": "automatic",
+        "position": 0, "group_size": 1, "granularity_us": 5000, "my_zone": "east", "zones": ["east", "west"],
         "limits": {"cancel": true, "max_attempts": 3, "parallel_tries": true, "open_cap": 100,
             "conn_idle_us": 1_000_000, "dial_timeout_us": 100_000},
-        "profiles": [{"name": "read", "aim_us": 300_000, "deadline_us": 900_000, "effect": "free", "gain": 1}],
-        "rules": {"cold_from": 0.3, "fall_multiple": 2.5, "ramp_time_us": 9_000_000, "tip_after_us": 2_000_000}
+        "profiles": [
+            {"name": "read", "aim_us": 300_000, "deadline_us": 900_000, "effect": "free", "gain": 1}],
+        "rules": {
+            "cold_from": 0.3, "fall_multiple": 2.5, "ramp_time_us": 9_000_000, "tip_after_us": 2_000_000}
     })
 }
 
 fn endpoint_list() -> Value {
-    json!({"index": 7, "snapshot": true, "endpoints": [{"name": "a", "zone": "east", "group": 3, "type": "big",
-        "status": "ready", "since_ms": 5, "weight": 1, "address": "10.0.0.1:80"}]})
+    json!({"index": 7, "snapshot": true, "endpoints": [{
+        "name": "a", "zone": "east", "group": 3, "type": "big", "status": "ready", "since_ms": 5, "weight": 1, "address": "10.0.0.1:80"}]})
 }
 
 fn proxy_config() -> Value {
