--- a/src/bin/simulator-adapter/main.rs
+++ b/src/bin/simulator-adapter/main.rs
@@ -1,38 +1,53 @@
-//! Speaks the bench's wire on standard input and output: one [`load_balancer::Balancer`] per instance.
-//! Translation only; every decision is the library's.
+//! Speaks the simulator's protocol on standard input and output, with one [`load_balancer::Balancer`] per
+//! instance. Translation only; every decision is the library's.
 #![forbid(unsafe_code)]
 
+mod error;
+mod events;
 mod host;
+mod instances;
+mod messages;
+mod replies;
+mod rosters;
 
+use error::AdapterError;
+use host::{Host, LineOutcome};
 use std::io::{BufRead, Write};
+use std::process::ExitCode;
 
-fn main() -> std::process::ExitCode {
-    let (stdin, stdout) = (std::io::stdin().lock(), std::io::stdout().lock());
+fn main() -> ExitCode {
+    let stdin = std::io::stdin().lock();
+    let stdout = std::io::stdout().lock();
     match run(stdin, stdout) {
-        Ok(()) => std::process::ExitCode::SUCCESS,
-        Err(text) => {
-            eprintln!("simulator-adapter: {text}");
-            std::process::ExitCode::FAILURE
+        Ok(()) => ExitCode::SUCCESS,
+        Err(error) => {
+            eprintln!("simulator-adapter: {error}");
+            ExitCode::FAILURE
         }
     }
 }
 
-fn run(mut input: impl BufRead, mut output: impl Write) -> Result<(), String> {
-    let mut host = host::Host::default();
-    let (mut line, mut number) = (String::new(), 0u64);
+/// Takes lines until the end of the input; replies once for each batch.
+fn run(mut input: impl BufRead, mut output: impl Write) -> Result<(), AdapterError> {
+    let mut host = Host::default();
+    let mut line = String::new();
+    let mut number = 0;
     let mut reply = Vec::new();
     loop {
         line.clear();
         number += 1;
-        let read = input.read_line(&mut line).map_err(|e| format!("line {number}: {e}"))?;
-        if read == 0 {
+        let length = input.read_line(&mut line).map_err(|source| AdapterError::Read { number, source })?;
+        if length == 0 {
             return Ok(());
         }
-        let done = host.line(line.trim_end(), &mut reply).map_err(|e| format!("line {number}: {e}"))?;
-        if done {
-            let sent = output.write_all(&reply).and_then(|()| output.flush());
-            sent.map_err(|e| format!("reply after line {number}: {e}"))?;
-            reply.clear();
+        let outcome = host.handle_line(line.trim_end(), &mut reply);
+        match outcome.map_err(|source| AdapterError::Line { number, source })? {
+            LineOutcome::BatchOpen => {}
+            LineOutcome::BatchEnded => {
+                let written = output.write_all(&reply).and_then(|()| output.flush());
+                written.map_err(|source| AdapterError::Reply { number, source })?;
+                reply.clear();
+            }
         }
     }
 }
--- /dev/null
+++ b/src/bin/simulator-adapter/replies.rs
@@ -0,0 +1,58 @@
+//! Actions of balancers as lines of a reply.
+//!
+//! The names of instances and the addresses of backends were checked to hold nothing that JSON would escape,
+//! so most lines are formatted directly.
+
+use crate::rosters::Rosters;
+use load_balancer::wire::WireError;
+use load_balancer::Action;
+use serde_json::{json, Value};
+use std::io::Write;
+
+/// Ends the reply to a batch.
+pub fn write_batch_end(reply: &mut Vec<u8>) {
+    write_line(reply, format_args!("[\"YIELD\"]"));
+}
+
+/// Reports settings that no balancer can go by.
+pub fn write_broken_settings(reply: &mut Vec<u8>, instance: &str, error: &WireError) {
+    write_json(reply, &json!(["BROKEN", instance, format!("settings: {error}")]));
+}
+
+/// Asks for what a balancer wants done.
+pub fn write_action(reply: &mut Vec<u8>, instance: &str, rosters: &Rosters, action: &Action) {
+    match action {
+        Action::Dispatch { request, backend, .. } => {
+            let address = rosters.address(*backend);
+            let request = request.0;
+            write_line(
+                reply,
+                format_args!("[\"HAND_OFF\",\"{instance}\",\"{request:016x}\",\"{address}\",0]"),
+            );
+        }
+        Action::Reject { request } => {
+            write_line(reply, format_args!("[\"BOUNCE\",\"{instance}\",\"{:016x}\",0]", request.0));
+        }
+        Action::Fail { request } => {
+            write_line(reply, format_args!("[\"LOSE\",\"{instance}\",\"{:016x}\"]", request.0));
+        }
+        Action::CancelAttempt { request, attempt } => {
+            let request = request.0;
+            write_line(reply, format_args!("[\"RECALL\",\"{instance}\",\"{request:016x}\",{}]", attempt.0));
+        }
+        Action::SetTimer { token, delay } => {
+            write_line(reply, format_args!("[\"AFTER\",\"{instance}\",{},{}]", token.0, delay.0));
+        }
+        Action::Resubscribe => write_line(reply, format_args!("[\"FOLLOW\",\"{instance}\",true]")),
+        Action::Log(event) => write_json(reply, &json!(["WRITE_LOG", instance, event.to_string()])),
+    }
+}
+
+fn write_json(reply: &mut Vec<u8>, line: &Value) {
+    write_line(reply, format_args!("{line}"));
+}
+
+fn write_line(reply: &mut Vec<u8>, line: std::fmt::Arguments) {
+    // Writing to memory does not fail.
+    let _ = writeln!(reply, "{line}");
+}
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -21,7 +21,8 @@
 
 fn endpoint_list() -> Value {
     json!({"index": 7, "snapshot": true, "endpoints": [{
-        "name": "a", "zone": "east", "group": 3, "type": "big", "status": "ready", "since_ms": 5, "weight": 1, "address": "10.0.0.1:80"}]})
+        "name": "a", "zone": "east", "group": 3, "type": "big", "status": "ready",
+        "since_ms": 5, "weight": 1, "address": "10.0.0.1:80"}]})
 }
 
 fn proxy_config() -> Value {
