--- a/src/bin/load-balancer-proxy/config.rs
+++ b/src/bin/load-balancer-proxy/config.rs
@@ -37,14 +37,17 @@
 
 /// Everything that the deployment tells a proxy.
 pub struct Config {
+    /// Where clients connect.
     pub listen: SocketAddr,
+    /// Where discovery is; it may move while the proxy runs.
     pub discovery: SocketAddr,
     /// The seed of the balancer's random draws.
     pub seed: u64,
     /// File descriptors that the process may hold.
-    pub sockets: usize,
+    pub max_file_descriptors: usize,
     /// The endpoint list as this proxy last had it.
-    pub known: Option<EndpointList>,
+    pub cached_list: Option<EndpointList>,
+    /// What may change while the proxy runs.
     pub settings: Arc<Settings>,
 }
 
@@ -54,19 +57,19 @@
     /// Counts those in force since the start, from 1.
     pub version: u64,
     /// The configuration of the balancer.
-    pub module: load_balancer::Config,
+    pub balancer: load_balancer::Config,
     /// The names of its classes and tenants.
     pub names: Names,
     /// Requests that may be open at once; more are rejected before the balancer hears of them.
-    pub open_cap: usize,
+    pub max_open_requests: usize,
     /// A backend closes a connection that has been idle for this long, at the latest.
-    pub conn_idle: Micros,
+    pub idle_timeout: Micros,
     /// A connection that is not up after this time counts as failed.
-    pub dial_timeout: Micros,
+    pub connect_timeout: Micros,
     /// Sends to a draining backend must cease this soon after the news of it.
     pub stop_sending: Micros,
     /// The longest time that a client waits.
-    pub longest: Micros,
+    pub longest_deadline: Micros,
 }
 
 /// Reads the file.
@@ -86,8 +89,8 @@
             listen: message.listen,
             discovery: message.discovery,
             seed: message.seed,
-            sockets: message.max_file_descriptors as usize,
-            known: message.cached_list,
+            max_file_descriptors: message.max_file_descriptors as usize,
+            cached_list: message.cached_list,
             settings: Arc::new(Settings::from(message.settings)),
         }
     }
@@ -98,13 +101,13 @@
         let stop_sending = message.stop_sending_within.unwrap_or(MIN_STOP_SENDING);
         Settings {
             version: 1,
-            module: message.balancer.config,
+            balancer: message.balancer.config,
             names: message.balancer.names,
-            open_cap: message.max_open_requests as usize,
-            conn_idle: message.idle_timeout,
-            dial_timeout: message.connect_timeout,
+            max_open_requests: message.max_open_requests as usize,
+            idle_timeout: message.idle_timeout,
+            connect_timeout: message.connect_timeout,
             stop_sending: stop_sending.clamp(MIN_STOP_SENDING, MAX_STOP_SENDING),
-            longest: message.balancer.longest_deadline,
+            longest_deadline: message.balancer.longest_deadline,
         }
     }
 }
--- a/src/bin/load-balancer-proxy/dispatcher.rs
+++ b/src/bin/load-balancer-proxy/dispatcher.rs
@@ -137,7 +137,7 @@
         let DispatcherHandles { pool, inputs, follow, status } = shared;
         Ok(Dispatcher {
             clock: pool.clock,
-            balancer: Balancer::new(settings.module.clone(), seed)?,
+            balancer: Balancer::new(settings.balancer.clone(), seed)?,
             settings,
             seed,
             pool,
@@ -238,14 +238,14 @@
 
     /// The module hears of it in turn, after the requests that came before it.
     fn configured(&mut self, new: SettingsReplacement) {
-        self.pool.set_times(new.settings.dial_timeout, new.settings.conn_idle);
+        self.pool.set_times(new.settings.connect_timeout, new.settings.idle_timeout);
         let old = std::mem::replace(&mut self.settings, new.settings);
         let _ = new.retired.send(old);
         self.events.push(Event::ConfigReplaced(new.update));
     }
 
     fn arrived(&mut self, new: ReceivedRequest) {
-        if self.requests.len() >= self.settings.open_cap {
+        if self.requests.len() >= self.settings.max_open_requests {
             // It reaches neither the module nor a backend.
             let _ = new.answer.send(FinalAnswer::Rejected { retry_after: self.balancer.retry_after() });
             return;
@@ -358,7 +358,7 @@
                 self.events.push(logged(&r.call, end));
             }
             if !settled {
-                self.overdue.push_back((at + Micros(GRACE_TICKS * self.settings.module.tick.0), request));
+                self.overdue.push_back((at + Micros(GRACE_TICKS * self.settings.balancer.tick.0), request));
             }
             self.forget(request);
         }
@@ -387,7 +387,7 @@
             return;
         }
         // Ticks lie on a grid: counted from each turn, every late wake-up would put off all that follow.
-        let tick = self.settings.module.tick;
+        let tick = self.settings.balancer.tick;
         self.turn = Time(now.0 - now.0 % tick.0) + tick;
         for mut event in std::mem::take(&mut self.events) {
             if let Event::RequestArrived(new) = &mut event {
@@ -412,7 +412,7 @@
     fn restart(&mut self) {
         tracing::error!(failed_requests = self.requests.len(), "balancer panicked, starting anew");
         self.seed = self.seed.wrapping_add(1);
-        match Balancer::new(self.settings.module.clone(), self.seed) {
+        match Balancer::new(self.settings.balancer.clone(), self.seed) {
             Ok(balancer) => self.balancer = balancer,
             Err(error) => tracing::error!(%error, "configuration rejected"),
         }
@@ -506,13 +506,13 @@
         let (follow, status) = (Rc::default(), Rc::default());
         let settings = Settings {
             version: 1,
-            module: Config::example(),
+            balancer: Config::example(),
             names: Default::default(),
-            open_cap: 8,
-            conn_idle: second,
-            dial_timeout: second,
+            max_open_requests: 8,
+            idle_timeout: second,
+            connect_timeout: second,
             stop_sending: second,
-            longest: second,
+            longest_deadline: second,
         };
         let shared = DispatcherHandles { pool, inputs, follow, status };
         let mut dispatcher = Dispatcher::new(Arc::new(settings), 1, shared).expect("sound");
--- a/src/bin/load-balancer-proxy/main.rs
+++ b/src/bin/load-balancer-proxy/main.rs
@@ -82,14 +82,18 @@
     tracing::info!("listening on {bound}");
     tokio::task::spawn_local(stall_detector.clone().keep_looking());
     // Clients and backends share what the rest leaves.
-    let clients = (config.sockets - RESERVE) / 2;
-    let backends = config.sockets - RESERVE - clients;
+    let clients = (config.max_file_descriptors - RESERVE) / 2;
+    let backends = config.max_file_descriptors - RESERVE - clients;
     let (sender, inputs) = mpsc::unbounded_channel();
     let (follow, status) = (Rc::new(Notify::new()), Rc::new(messages::ServingStatus::default()));
     let serving = status.clone();
     let settings = &config.settings;
-    let pool =
-        Rc::new(upstream::ConnectionPool::new(clock, settings.dial_timeout, settings.conn_idle, backends));
+    let pool = Rc::new(upstream::ConnectionPool::new(
+        clock,
+        settings.connect_timeout,
+        settings.idle_timeout,
+        backends,
+    ));
     let server = Rc::new(server::Server {
         clock,
         stall_detector,
@@ -105,14 +109,14 @@
     let (moved, address) = watch::channel(config.discovery);
     let terms = Rc::new(Cell::new(reload::watch_terms(settings)));
     let fixed = reload::Fixed::of(&config);
-    let version = config.known.as_ref().map(|known| known.version);
+    let version = config.cached_list.as_ref().map(|known| known.version);
     // Without a list from before the module still has to hear of its start: only then does it ask for one.
-    let mut known = config.known.map(|known| known.endpoints).unwrap_or_default();
+    let mut known = config.cached_list.map(|known| known.endpoints).unwrap_or_default();
     let mut starts = StartTimes::default();
     starts.place(clock.now(), true, &mut known);
     let watch = discovery::Watch {
         address,
-        mode: settings.module.discovery,
+        mode: settings.balancer.discovery,
         settings: terms.clone(),
         version,
         resubscribe: follow.clone(),
--- a/src/bin/load-balancer-proxy/reload.rs
+++ b/src/bin/load-balancer-proxy/reload.rs
@@ -30,8 +30,8 @@
 
 impl Fixed {
     pub fn of(config: &Config) -> Fixed {
-        let Config { listen, seed, sockets, .. } = *config;
-        Fixed { listen, seed, sockets, asks: config.settings.module.discovery != DiscoveryMode::Push }
+        let Config { listen, seed, max_file_descriptors: sockets, .. } = *config;
+        Fixed { listen, seed, sockets, asks: config.settings.balancer.discovery != DiscoveryMode::Push }
     }
 
     /// The keys with the values that they keep, where another file has others.
@@ -56,9 +56,9 @@
 /// How the watch on discovery goes by the settings.
 pub fn watch_terms(settings: &Settings) -> WatchSettings {
     WatchSettings {
-        connect_timeout: duration(settings.dial_timeout),
+        connect_timeout: duration(settings.connect_timeout),
         stop_sending: duration(settings.stop_sending),
-        fleet_position: f64::from(settings.module.proxy_index) / f64::from(settings.module.proxy_count),
+        fleet_position: f64::from(settings.balancer.proxy_index) / f64::from(settings.balancer.proxy_count),
     }
 }
 
@@ -80,13 +80,13 @@
     let discovery = config.discovery;
     let settings = Arc::get_mut(&mut config.settings).ok_or("settings: held elsewhere")?;
     settings.version = held.version;
-    if (settings.module.discovery == DiscoveryMode::Push) == fixed.asks {
-        settings.module.discovery = held.module.discovery;
+    if (settings.balancer.discovery == DiscoveryMode::Push) == fixed.asks {
+        settings.balancer.discovery = held.balancer.discovery;
     }
     let mut new = None;
     if settings != held {
         settings.version += 1;
-        let update = settings.names.update(&held.names, settings.module.clone());
+        let update = settings.names.update(&held.names, settings.balancer.clone());
         new = Some((config.settings, Box::new(update)));
     }
     Ok(Loaded { discovery, kept, new, retired })
@@ -165,8 +165,8 @@
             }));
         }
         let settings = self.server.settings.borrow();
-        let (version, module) = (settings.version, &settings.module);
-        let (classes, tenants) = (module.classes.len(), module.tenants.len());
+        let (version, balancer) = (settings.version, &settings.balancer);
+        let (classes, tenants) = (balancer.classes.len(), balancer.tenants.len());
         tracing::info!(version, classes, tenants, "SIGHUP: configuration in force");
     }
 }
--- a/src/bin/load-balancer-proxy/server.rs
+++ b/src/bin/load-balancer-proxy/server.rs
@@ -109,7 +109,7 @@
                 biased;
                 () = &mut stop, if !self.stopping.get() => {
                     self.stopping.set(true);
-                    let longest = self.settings.borrow().longest;
+                    let longest = self.settings.borrow().longest_deadline;
                     let told = Time(self.clock.now().0.saturating_sub(self.stall_detector.unseen().0));
                     last = told + longest.min(LAST_DEADLINE) + LAST_ANSWER;
                     let _ = self.inputs.send(DispatcherMessage::ShutdownStarted { deadline: last });
@@ -357,14 +357,14 @@
 
 /// What the module needs to know of a request; a message if its form is wrong.
 fn read(settings: &Settings, head: &Parts, length: Option<u64>) -> Result<Form, &'static str> {
-    let (headers, Settings { names, module, .. }) = (&head.headers, settings);
+    let (headers, Settings { names, balancer, .. }) = (&head.headers, settings);
     let name = text(headers, &CLASS).ok_or("expected X-Service-Class")?;
     let class = names.class(name).ok_or("X-Service-Class: unknown class")?;
     if head.uri.path().split('/').nth(1) != Some(name) {
         return Err("expected the class as the first part of the path");
     }
     let keyed = headers.contains_key(&IDEMPOTENCY_KEY);
-    let fits = match module.classes[class.0].idempotency {
+    let fits = match balancer.classes[class.0].idempotency {
         Idempotency::Idempotent => head.method == Method::GET && length == Some(0),
         Idempotency::Keyed { .. } => head.method == Method::POST && keyed,
         Idempotency::NonIdempotent => head.method == Method::POST && !keyed,
@@ -386,7 +386,7 @@
         class,
         tenant,
         time_left: Micros(left.saturating_mul(1000)),
-        margin: Micros(MARGIN_TICKS * module.tick.0),
+        margin: Micros(MARGIN_TICKS * balancer.tick.0),
         expected_work: number(headers, &EXPECTED_WORK)?.map(Micros),
         is_client_retry: text(headers, &CLIENT_RETRY) == Some("1"),
     })
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -1,7 +1,7 @@
 //! The watch on the list of backends, against a stand-in of discovery on loopback.
 
 use load_balancer::discovery::start_times::StartTimes;
-use load_balancer::discovery::{Target, Watch, WatchSettings};
+use load_balancer::discovery::{Endpoint, Watch, WatchSettings};
 use load_balancer::{DiscoveryMode, EndpointListUpdate, Micros, Time};
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -12,7 +12,7 @@
 use tokio::task::LocalSet;
 
 /// What the watch tells, as the driver would hear it.
-type News = mpsc::UnboundedReceiver<(EndpointListUpdate, Vec<Target>)>;
+type News = mpsc::UnboundedReceiver<(EndpointListUpdate, Vec<Endpoint>)>;
 
 /// A watch in a fleet that asks, on this address, with what the module would see and say.
 fn watching(at: SocketAddr) -> (watch::Sender<SocketAddr>, News, Rc<Notify>) {
--- a/tests/start_times.rs
+++ b/tests/start_times.rs
@@ -2,7 +2,7 @@
 //! that one.
 
 use load_balancer::discovery::start_times::StartTimes;
-use load_balancer::discovery::Target;
+use load_balancer::discovery::Endpoint;
 use load_balancer::{Backend, BackendId, BackendState, Time};
 
 const SECOND: u64 = 1_000_000;
@@ -10,14 +10,14 @@
 const START: u64 = 10_000 * SECOND;
 
 /// A line about a backend that started at that second of the list's clock; 0 is long ago.
-fn line(id: u64, started: u64) -> Target {
+fn line(id: u64, started: u64) -> Endpoint {
     let started_at = Some(Time(started * SECOND)).filter(|t| t.0 > 0);
     let backend = Backend { id: BackendId(id), state: BackendState::Ready, started_at, ..Backend::default() };
-    Target { backend, address: ([127, 0, 0, 1], 1).into() }
+    Endpoint { backend, address: ([127, 0, 0, 1], 1).into() }
 }
 
 /// The ages, in seconds, that the backends of a list have so many seconds after the start.
-fn ages(starts: &mut StartTimes, at: u64, whole: bool, mut lines: Vec<Target>) -> Vec<Option<u64>> {
+fn ages(starts: &mut StartTimes, at: u64, whole: bool, mut lines: Vec<Endpoint>) -> Vec<Option<u64>> {
     let now = Time(START + at * SECOND);
     starts.place(now, whole, &mut lines);
     lines.iter().map(|l| l.backend.started_at.map(|b| (now - b).0 / SECOND)).collect()
@@ -72,7 +72,7 @@
 fn a_backend_that_is_gone_is_forgotten() {
     let mut starts = StartTimes::default();
     ages(&mut starts, 0, true, vec![line(1, 0), line(2, 900)]);
-    let gone = |mut line: Target| {
+    let gone = |mut line: Endpoint| {
         line.backend.state = BackendState::Removed;
         line
     };
