--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -1,5 +1,5 @@
-//! Documents of the platform, mapped to the library's types. Their field names appear here and in the
-//! simulator adapter, and nowhere else.
+//! Documents of the platform, mapped to the library's types. Their field names are read here and in the
+//! simulator adapter only.
 
 pub mod endpoint_list;
 mod error;
