--- a/scale/src/hollow.rs
+++ b/scale/src/hollow.rs
@@ -8,8 +8,8 @@
 use crate::wire;
 use hdrhistogram::Histogram;
 use load_balancer::discovery::start_times::StartTimes;
-use load_balancer::discovery::{Target, Terms, Watch};
-use load_balancer::wire::settings::{read, Key};
+use load_balancer::discovery::{Target, Watch, WatchSettings};
+use load_balancer::wire::settings::SettingsMessage;
 use load_balancer::*;
 use rand_core::SeedableRng;
 use rand_pcg::Pcg32;
@@ -255,20 +255,20 @@
 /// Starts the watch of a proxy.
 fn watch_list(config: &Config, shared: &Shared, clock: Clock) -> (Rc<Notify>, News, JoinHandle<()>) {
     let (follow, (tell, news)) = (Rc::new(Notify::new()), mpsc::channel(NEWS));
-    let terms = Terms {
-        dial_timeout: DIAL,
+    let terms = WatchSettings {
+        connect_timeout: DIAL,
         stop_sending: Duration::from_micros(STOP_SENDING_US),
-        place: f64::from(config.proxy_index) / f64::from(config.proxy_count),
+        fleet_position: f64::from(config.proxy_index) / f64::from(config.proxy_count),
     };
     let watch = Watch {
         address: shared.address.clone(),
         mode: config.discovery,
-        terms: Rc::new(Cell::new(terms)),
-        index: None,
-        follow: follow.clone(),
+        settings: Rc::new(Cell::new(terms)),
+        version: None,
+        resubscribe: follow.clone(),
         now: Box::new(move || clock.at(Instant::now())),
-        starts: StartTimes::default(),
-        tell: Box::new(move |update, targets| {
+        start_times: StartTimes::default(),
+        on_update: Box::new(move |update, targets| {
             if tell.try_send((update, targets)).is_err() {
                 tracing::error!("a proxy does not take its news");
             }
@@ -285,7 +285,8 @@
 
 impl Proxy {
     fn new(position: u32, shared: Shared) -> Result<Proxy, String> {
-        let (config, _) = read(&Key::root(&settings(&shared.point, position)))?;
+        let message = SettingsMessage::from_value(&settings(&shared.point, position));
+        let config = message.map_err(|e| e.to_string())?.config;
         let seed = shared.point.seed.wrapping_mul(1_000_003).wrapping_add(u64::from(position));
         let clock = Clock::new();
         let (follow, news, watching) = watch_list(&config, &shared, clock);
--- a/src/bin/load-balancer-proxy/dispatcher/actions.rs
+++ b/src/bin/load-balancer-proxy/dispatcher/actions.rs
@@ -1,7 +1,7 @@
 //! Carrying out the balancer's actions.
 
 use super::attempt_report::AttemptReport;
-use super::request_table::InFlightAttempt;
+use super::request_table::AttemptTask;
 use super::{log, Dispatcher};
 use crate::messages::FinalAnswer;
 use crate::upstream::AttemptLimits;
@@ -55,6 +55,6 @@
             let result = pool.attempt(&upstream, &upstream_request, limits).await;
             report.send(result);
         });
-        request.attempts.insert(number, InFlightAttempt { sent_at: now, task: task.abort_handle() });
+        request.attempts.insert(number, AttemptTask { sent_at: now, task: task.abort_handle() });
     }
 }
--- a/src/bin/load-balancer-proxy/dispatcher/backend_table.rs
+++ b/src/bin/load-balancer-proxy/dispatcher/backend_table.rs
@@ -1,7 +1,7 @@
 //! The backends of the endpoint list, each with its connections.
 
 use crate::upstream::Upstream;
-use load_balancer::discovery::Target;
+use load_balancer::wire::endpoint_list::Endpoint;
 use load_balancer::{Backend, BackendId, BackendState, EndpointListUpdate};
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -29,15 +29,15 @@
     }
 
     /// Applies an endpoint list and returns its entries for the balancer.
-    pub fn apply(&mut self, update: EndpointListUpdate, targets: Vec<Target>) -> Vec<Backend> {
+    pub fn apply(&mut self, update: EndpointListUpdate, endpoints: Vec<Endpoint>) -> Vec<Backend> {
         let mut unnamed =
             if update.is_complete() { std::mem::take(&mut self.upstreams) } else { HashMap::new() };
-        let mut entries = Vec::with_capacity(targets.len());
-        for target in targets {
-            let id = target.backend.id;
+        let mut entries = Vec::with_capacity(endpoints.len());
+        for endpoint in endpoints {
+            let id = endpoint.backend.id;
             let known = unnamed.remove(&id).or_else(|| self.upstreams.remove(&id));
-            entries.push(target.backend.clone());
-            self.apply_entry(known, target);
+            entries.push(endpoint.backend.clone());
+            self.apply_entry(known, endpoint);
         }
         for upstream in unnamed.values() {
             upstream.drain();
@@ -50,10 +50,10 @@
         self.iter().map(|upstream| current_entry(upstream)).collect()
     }
 
-    fn apply_entry(&mut self, known: Option<Rc<Upstream>>, target: Target) {
-        let id = target.backend.id;
-        let state = target.backend.state;
-        let upstream = upstream_for(known, target);
+    fn apply_entry(&mut self, known: Option<Rc<Upstream>>, endpoint: Endpoint) {
+        let id = endpoint.backend.id;
+        let state = endpoint.backend.state;
+        let upstream = upstream_for(known, endpoint);
         if state == BackendState::Ready {
             upstream.mark_ready();
         } else {
@@ -67,23 +67,23 @@
 
 /// The known upstream, unless the entry names another process: a restarted process shares no connection with
 /// the one before it.
-fn upstream_for(known: Option<Rc<Upstream>>, target: Target) -> Rc<Upstream> {
+fn upstream_for(known: Option<Rc<Upstream>>, endpoint: Endpoint) -> Rc<Upstream> {
     match known {
-        Some(upstream) if is_same_process(&upstream.target, &target) => upstream,
+        Some(upstream) if is_same_process(&upstream.endpoint, &endpoint) => upstream,
         Some(upstream) => {
             upstream.drain();
-            Rc::new(Upstream::new(target))
+            Rc::new(Upstream::new(endpoint))
         }
-        None => Rc::new(Upstream::new(target)),
+        None => Rc::new(Upstream::new(endpoint)),
     }
 }
 
 /// A process at another address shares no connection either, though to the balancer it is the same backend.
-fn is_same_process(known: &Target, target: &Target) -> bool {
-    known.address == target.address && known.backend.started_at == target.backend.started_at
+fn is_same_process(known: &Endpoint, endpoint: &Endpoint) -> bool {
+    known.address == endpoint.address && known.backend.started_at == endpoint.backend.started_at
 }
 
 fn current_entry(upstream: &Upstream) -> Backend {
     let state = if upstream.is_ready() { BackendState::Ready } else { BackendState::Draining };
-    Backend { state, ..upstream.target.backend.clone() }
+    Backend { state, ..upstream.endpoint.backend.clone() }
 }
--- a/src/bin/load-balancer-proxy/dispatcher/deadlines.rs
+++ b/src/bin/load-balancer-proxy/dispatcher/deadlines.rs
@@ -95,7 +95,7 @@
                 self.events.push(ended);
             }
             if !request.is_answered() {
-                let grace = Micros(GRACE_TICKS * self.settings.module.tick.0);
+                let grace = Micros(GRACE_TICKS * self.settings.balancer.tick.0);
                 self.deadlines.push_overdue(Deadline { at: at + grace, request: id });
             }
             self.requests.mark_if_finished(id);
--- a/src/bin/load-balancer-proxy/dispatcher/log.rs
+++ b/src/bin/load-balancer-proxy/dispatcher/log.rs
@@ -10,9 +10,9 @@
     tracing::debug!(
         attempt = attempt.0,
         request = id.0,
-        correlation_id = %request.correlation(),
-        backend = upstream.target.backend.id.0,
-        address = %upstream.target.address,
+        correlation_id = %request.correlation_id(),
+        backend = upstream.endpoint.backend.id.0,
+        address = %upstream.endpoint.address,
         "attempt dispatched"
     );
 }
@@ -22,7 +22,7 @@
     tracing::debug!(
         attempt = result.attempt.0,
         request = result.request.0,
-        correlation_id = %request.correlation(),
+        correlation_id = %request.correlation_id(),
         outcome = ?result.outcome,
         latency_us = result.latency.0,
         "attempt ended"
--- a/src/bin/load-balancer-proxy/dispatcher/message_handling.rs
+++ b/src/bin/load-balancer-proxy/dispatcher/message_handling.rs
@@ -6,7 +6,7 @@
 use super::Dispatcher;
 use crate::messages::{DispatcherMessage, FinalAnswer, ReceivedRequest, SettingsReplacement};
 use crate::upstream::UpstreamResult;
-use load_balancer::discovery::Target;
+use load_balancer::wire::endpoint_list::Endpoint;
 use load_balancer::{AttemptNumber, EndpointListUpdate, Event, RequestArrival, RequestId, Time};
 use std::collections::HashMap;
 
@@ -19,8 +19,8 @@
             DispatcherMessage::AttemptEnded { request, attempt, result } => {
                 self.end_attempt(self.clock.now(), request, attempt, result);
             }
-            DispatcherMessage::EndpointList { update, targets } => {
-                self.endpoint_list_arrived(update, targets);
+            DispatcherMessage::EndpointList { update, endpoints } => {
+                self.endpoint_list_arrived(update, endpoints);
             }
             DispatcherMessage::SettingsReplaced(replacement) => self.settings_replaced(replacement),
             DispatcherMessage::ShutdownStarted { deadline } => self.shutdown_started(deadline),
@@ -28,7 +28,7 @@
     }
 
     fn request_received(&mut self, received: ReceivedRequest) {
-        if self.requests.len() >= self.settings.open_cap {
+        if self.requests.len() >= self.settings.max_open_requests {
             // It reaches neither the balancer nor a backend.
             let retry_after = self.balancer.retry_after();
             let _ = received.answer.send(FinalAnswer::Rejected { retry_after });
@@ -78,8 +78,8 @@
         self.requests.mark_if_finished(id);
     }
 
-    fn endpoint_list_arrived(&mut self, update: EndpointListUpdate, targets: Vec<Target>) {
-        let backends = self.backends.apply(update, targets);
+    fn endpoint_list_arrived(&mut self, update: EndpointListUpdate, endpoints: Vec<Endpoint>) {
+        let backends = self.backends.apply(update, endpoints);
         self.status.serving.set(self.backends.has_ready());
         self.events.push(Event::EndpointListChanged { update, backends });
     }
@@ -87,7 +87,7 @@
     /// The event stands behind those of earlier requests, which are numbered by the settings replaced.
     fn settings_replaced(&mut self, replacement: SettingsReplacement) {
         let SettingsReplacement { settings, update, retired } = replacement;
-        self.pool.set_timeouts(settings.dial_timeout, settings.conn_idle);
+        self.pool.set_timeouts(settings.connect_timeout, settings.idle_timeout);
         let replaced = std::mem::replace(&mut self.settings, settings);
         let _ = retired.send(replaced);
         self.events.push(Event::ConfigReplaced(update));
--- a/src/bin/load-balancer-proxy/dispatcher/mod.rs
+++ b/src/bin/load-balancer-proxy/dispatcher/mod.rs
@@ -70,9 +70,9 @@
     /// The connections to backends.
     pub pool: Rc<ConnectionPool>,
     /// Sends to the dispatcher itself.
-    pub inputs: mpsc::UnboundedSender<DispatcherMessage>,
+    pub messages: mpsc::UnboundedSender<DispatcherMessage>,
     /// Notified when the balancer asks for a new call to discovery.
-    pub follow: Rc<Notify>,
+    pub resubscribe: Rc<Notify>,
     /// What the dispatcher tells the client side.
     pub status: Rc<ServingStatus>,
 }
@@ -82,10 +82,10 @@
     pub fn new(
         settings: Arc<Settings>, seed: u64, handles: DispatcherHandles,
     ) -> Result<Dispatcher, ConfigError> {
-        let DispatcherHandles { pool, inputs, follow, status } = handles;
+        let DispatcherHandles { pool, messages, resubscribe, status } = handles;
         Ok(Dispatcher {
             clock: pool.clock,
-            balancer: Balancer::new(settings.module.clone(), seed)?,
+            balancer: Balancer::new(settings.balancer.clone(), seed)?,
             settings,
             seed,
             pool,
@@ -96,8 +96,8 @@
             events: Vec::new(),
             actions: Vec::new(),
             next_tick: Time(0),
-            messages: inputs,
-            resubscribe: follow,
+            messages,
+            resubscribe,
             status,
         })
     }
@@ -129,7 +129,7 @@
             self.run_due_work(now);
             if now >= next_idle_check {
                 next_idle_check = now + IDLE_CHECK_INTERVAL;
-                self.close_stale_connections();
+                self.close_expired_connections();
             }
         }
     }
@@ -150,11 +150,11 @@
         }
     }
 
-    fn close_stale_connections(&self) {
+    fn close_expired_connections(&self) {
         for upstream in self.backends.iter() {
             let upstream = upstream.clone();
             let pool = self.pool.clone();
-            tokio::task::spawn_local(async move { pool.close_stale(&upstream).await });
+            tokio::task::spawn_local(async move { pool.close_expired_idle(&upstream).await });
         }
     }
 }
--- a/src/bin/load-balancer-proxy/dispatcher/recovery.rs
+++ b/src/bin/load-balancer-proxy/dispatcher/recovery.rs
@@ -10,7 +10,7 @@
     pub(super) fn restart_balancer(&mut self) {
         tracing::error!(failed_requests = self.requests.len(), "balancer panicked, starting anew");
         self.seed = self.seed.wrapping_add(1); // the same seed could lead to the same panic
-        match Balancer::new(self.settings.module.clone(), self.seed) {
+        match Balancer::new(self.settings.balancer.clone(), self.seed) {
             Ok(balancer) => self.balancer = balancer,
             Err(error) => tracing::error!(%error, "configuration rejected"),
         }
--- a/src/bin/load-balancer-proxy/dispatcher/request_table.rs
+++ b/src/bin/load-balancer-proxy/dispatcher/request_table.rs
@@ -11,7 +11,7 @@
 use tokio::task::AbortHandle;
 
 /// An attempt in flight.
-pub(super) struct InFlightAttempt {
+pub(super) struct AttemptTask {
     pub sent_at: Time,
     pub task: AbortHandle,
 }
@@ -23,7 +23,7 @@
     pub upstream_request: Rc<UpstreamRequest>,
     /// `None`: it has had its final answer, or its client is gone.
     pub reply: Option<oneshot::Sender<FinalAnswer>>,
-    pub attempts: HashMap<AttemptNumber, InFlightAttempt>,
+    pub attempts: HashMap<AttemptNumber, AttemptTask>,
     /// How many attempts the balancer has asked for so far.
     pub dispatched: u32,
 }
--- a/src/bin/load-balancer-proxy/dispatcher/tests.rs
+++ b/src/bin/load-balancer-proxy/dispatcher/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of the dispatcher against its own state.
 
 use super::attempt_report::AttemptReport;
-use super::request_table::InFlightAttempt;
+use super::request_table::AttemptTask;
 use super::{Dispatcher, DispatcherHandles};
 use crate::clock::Clock;
 use crate::config::Settings;
@@ -9,7 +9,7 @@
 use crate::upstream::{ConnectionPool, UpstreamRequest, UpstreamResult};
 use bytes::Bytes;
 use hyper::Response;
-use load_balancer::discovery::Target;
+use load_balancer::wire::endpoint_list::Endpoint;
 use load_balancer::{
     AttemptNumber, Backend, BackendId, BackendState, ClassId, Config, EndpointListUpdate, Event, Micros,
     Outcome, RequestId, Time,
@@ -24,20 +24,20 @@
 fn settings() -> Settings {
     Settings {
         version: 1,
-        module: Config::example(),
+        balancer: Config::example(),
         names: Default::default(),
-        open_cap: 8,
-        conn_idle: SECOND,
-        dial_timeout: SECOND,
+        max_open_requests: 8,
+        idle_timeout: SECOND,
+        connect_timeout: SECOND,
         stop_sending: SECOND,
-        longest: SECOND,
+        longest_deadline: SECOND,
     }
 }
 
 fn dispatcher(clock: Clock) -> Dispatcher {
-    let (inputs, _messages) = mpsc::unbounded_channel();
+    let (messages, _received) = mpsc::unbounded_channel();
     let pool = Rc::new(ConnectionPool::new(clock, SECOND, SECOND, 8));
-    let handles = DispatcherHandles { pool, inputs, follow: Rc::default(), status: Rc::default() };
+    let handles = DispatcherHandles { pool, messages, resubscribe: Rc::default(), status: Rc::default() };
     Dispatcher::new(Arc::new(settings()), 1, handles).expect("sound")
 }
 
@@ -58,8 +58,8 @@
     answer
 }
 
-fn target(id: BackendId, state: BackendState) -> Target {
-    Target {
+fn endpoint(id: BackendId, state: BackendState) -> Endpoint {
+    Endpoint {
         backend: Backend { id, state, ..Backend::default() },
         address: SocketAddr::from(([127, 0, 0, 1], 1)),
     }
@@ -76,7 +76,7 @@
     let sent_at = clock.now();
     let task = tokio::spawn(std::future::pending::<()>()).abort_handle();
     let request = dispatcher.requests.get_mut(id).expect("open");
-    request.attempts.insert(AttemptNumber(0), InFlightAttempt { sent_at, task });
+    request.attempts.insert(AttemptNumber(0), AttemptTask { sent_at, task });
     request.dispatched = 1;
     let result = UpstreamResult { outcome: Outcome::Success, response: Some(Response::new(Bytes::new())) };
     dispatcher.handle_message(DispatcherMessage::AttemptEnded {
@@ -125,7 +125,7 @@
     let id = RequestId(1);
     let deadline = clock.now() + SECOND;
     let mut answer = receive(&mut dispatcher, id, deadline);
-    let failed_at = deadline + Micros(2 * dispatcher.settings.module.tick.0);
+    let failed_at = deadline + Micros(2 * dispatcher.settings.balancer.tick.0);
     dispatcher.expire_deadlines(deadline);
     dispatcher.fail_overdue(Time(failed_at.0 - 1));
     assert!(answer.try_recv().is_err(), "still the balancer's to answer");
@@ -144,10 +144,10 @@
     let (ready, draining, removed) = (BackendId(1), BackendId(2), BackendId(3));
     dispatcher.handle_message(DispatcherMessage::EndpointList {
         update: EndpointListUpdate::Snapshot,
-        targets: vec![
-            target(ready, BackendState::Ready),
-            target(draining, BackendState::Draining),
-            target(removed, BackendState::Removed),
+        endpoints: vec![
+            endpoint(ready, BackendState::Ready),
+            endpoint(draining, BackendState::Draining),
+            endpoint(removed, BackendState::Removed),
         ],
     });
     let mut answer = receive(&mut dispatcher, RequestId(1), clock.now() + SECOND);
--- a/src/bin/load-balancer-proxy/dispatcher/tick.rs
+++ b/src/bin/load-balancer-proxy/dispatcher/tick.rs
@@ -16,7 +16,7 @@
         if self.events.is_empty() {
             return;
         }
-        self.next_tick = tick_after(now, self.settings.module.tick);
+        self.next_tick = tick_after(now, self.settings.balancer.tick);
         for event in std::mem::take(&mut self.events) {
             if let Err(BalancerPanicked) = self.handle_event(now, event) {
                 self.restart_balancer();
--- a/src/bin/load-balancer-proxy/messages.rs
+++ b/src/bin/load-balancer-proxy/messages.rs
@@ -5,7 +5,7 @@
 use crate::upstream::{UpstreamRequest, UpstreamResult};
 use bytes::Bytes;
 use hyper::Response;
-use load_balancer::discovery::Target;
+use load_balancer::wire::endpoint_list::Endpoint;
 use load_balancer::{
     AttemptNumber, ClassId, ConfigUpdate, EndpointListUpdate, Micros, RequestId, TenantId, Time,
 };
@@ -67,7 +67,7 @@
         /// What the entries stand for.
         update: EndpointListUpdate,
         /// The entries.
-        targets: Vec<Target>,
+        endpoints: Vec<Endpoint>,
     },
     /// Other settings are in force.
     SettingsReplaced(SettingsReplacement),
--- a/src/bin/load-balancer-proxy/reload/config_reader.rs
+++ b/src/bin/load-balancer-proxy/reload/config_reader.rs
@@ -73,13 +73,13 @@
     let kept_keys = restart_only.kept_keys(&RestartOnlySettings::of(&config));
     let settings = Arc::get_mut(&mut config.settings).ok_or(ReloadError::SettingsShared)?;
     settings.version = current.version;
-    if !restart_only.allows(settings.module.discovery) {
-        settings.module.discovery = current.module.discovery;
+    if !restart_only.allows(settings.balancer.discovery) {
+        settings.balancer.discovery = current.balancer.discovery;
     }
     let mut new_settings = None;
     if settings != current {
         settings.version += 1;
-        let update = Box::new(settings.names.update(&current.names, settings.module.clone()));
+        let update = Box::new(settings.names.update(&current.names, settings.balancer.clone()));
         new_settings = Some(NewSettings { settings: config.settings, update });
     }
     Ok(LoadedConfig { discovery: config.discovery, kept_keys, new_settings, retired })
--- a/src/bin/load-balancer-proxy/reload/mod.rs
+++ b/src/bin/load-balancer-proxy/reload/mod.rs
@@ -10,7 +10,7 @@
 use crate::messages::{DispatcherMessage, SettingsReplacement};
 use crate::server::Server;
 use config_reader::{LoadedConfig, NewSettings, ReloadError};
-use load_balancer::discovery::Terms;
+use load_balancer::discovery::WatchSettings;
 use load_balancer::net::resource_exhaustion;
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -21,11 +21,11 @@
 use tokio::sync::watch;
 
 /// The settings that the watch on discovery depends on.
-pub fn watch_terms(settings: &Settings) -> Terms {
-    Terms {
-        dial_timeout: duration(settings.dial_timeout),
+pub fn watch_settings(settings: &Settings) -> WatchSettings {
+    WatchSettings {
+        connect_timeout: duration(settings.connect_timeout),
         stop_sending: duration(settings.stop_sending),
-        place: f64::from(settings.module.proxy_index) / f64::from(settings.module.proxy_count),
+        fleet_position: f64::from(settings.balancer.proxy_index) / f64::from(settings.balancer.proxy_count),
     }
 }
 
@@ -38,7 +38,7 @@
     /// Where the watch reads the address of discovery.
     pub discovery_address: watch::Sender<SocketAddr>,
     /// Where the watch reads its settings.
-    pub watch_terms: Rc<Cell<Terms>>,
+    pub watch_settings: Rc<Cell<WatchSettings>>,
 }
 
 impl Reloader {
@@ -76,14 +76,14 @@
             self.replace_settings(new_settings, loaded.retired);
         }
         let settings = self.server.settings();
-        let (version, balancer) = (settings.version, &settings.module);
+        let (version, balancer) = (settings.version, &settings.balancer);
         let (classes, tenants) = (balancer.classes.len(), balancer.tenants.len());
         tracing::info!(version, classes, tenants, "SIGHUP: configuration in force");
     }
 
     fn replace_settings(&self, new_settings: NewSettings, retired: SyncSender<Arc<Settings>>) {
         let NewSettings { settings, update } = new_settings;
-        self.watch_terms.set(watch_terms(&settings));
+        self.watch_settings.set(watch_settings(&settings));
         let replaced = self.server.replace_settings(settings.clone());
         let _ = retired.send(replaced);
         let replacement = SettingsReplacement { settings, update, retired };
--- a/src/bin/load-balancer-proxy/reload/restart_only.rs
+++ b/src/bin/load-balancer-proxy/reload/restart_only.rs
@@ -9,7 +9,7 @@
 pub struct RestartOnlySettings {
     listen: SocketAddr,
     seed: u64,
-    sockets: usize,
+    max_file_descriptors: usize,
     /// The endpoint list is subscribed to, not pushed.
     is_subscribed: bool,
 }
@@ -28,8 +28,8 @@
         RestartOnlySettings {
             listen: config.listen,
             seed: config.seed,
-            sockets: config.sockets,
-            is_subscribed: is_subscribed(config.settings.module.discovery),
+            max_file_descriptors: config.max_file_descriptors,
+            is_subscribed: is_subscribed(config.settings.balancer.discovery),
         }
     }
 
@@ -48,8 +48,8 @@
         if self.seed != other.seed {
             keep("seed", format!("{:016x}", self.seed));
         }
-        if self.sockets != other.sockets {
-            keep("limits.sockets", self.sockets.to_string());
+        if self.max_file_descriptors != other.max_file_descriptors {
+            keep("limits.sockets", self.max_file_descriptors.to_string());
         }
         if self.is_subscribed != other.is_subscribed {
             let mode = if self.is_subscribed { "subscribe" } else { "automatic" };
--- a/src/bin/load-balancer-proxy/server/abandonment_guard.rs
+++ b/src/bin/load-balancer-proxy/server/abandonment_guard.rs
@@ -60,7 +60,7 @@
         tracing::debug!(
             %outcome,
             request = self.id.0,
-            correlation_id = %self.upstream_request.correlation(),
+            correlation_id = %self.upstream_request.correlation_id(),
             latency_us = (self.server.clock.now() - self.received_at).0,
             "request ended"
         );
--- a/src/bin/load-balancer-proxy/server/graceful_shutdown.rs
+++ b/src/bin/load-balancer-proxy/server/graceful_shutdown.rs
@@ -29,7 +29,7 @@
     /// Begins the shutdown and notifies the dispatcher; returns the deadline of all answers.
     pub(super) fn begin_shutdown(&self) -> Time {
         self.is_shutting_down.set(true);
-        let longest_deadline = self.settings.borrow().longest;
+        let longest_deadline = self.settings.borrow().longest_deadline;
         let signalled_at = self.clock.now().saturating_sub(self.stall_detector.unobserved_time());
         let deadline = signalled_at + longest_deadline.min(MAX_REQUEST_TIME) + ANSWER_PERIOD;
         self.notify_dispatcher(DispatcherMessage::ShutdownStarted { deadline });
--- a/src/bin/load-balancer-proxy/server/request_handler.rs
+++ b/src/bin/load-balancer-proxy/server/request_handler.rs
@@ -101,7 +101,7 @@
         let guard = AbandonmentGuard::new(self, id, upstream_request.clone(), received_at);
         tracing::debug!(
             request = id.0,
-            correlation_id = %upstream_request.correlation(),
+            correlation_id = %upstream_request.correlation_id(),
             time_left_us = parsed.time_left.0,
             "request received"
         );
--- a/src/bin/load-balancer-proxy/server/request_parsing.rs
+++ b/src/bin/load-balancer-proxy/server/request_parsing.rs
@@ -39,7 +39,7 @@
     ) -> Result<ParsedRequest, RequestError> {
         let headers = &head.headers;
         let class = parse_class(settings, head)?;
-        check_form(settings.module.classes[class.0].idempotency, head, body_length)?;
+        check_form(settings.balancer.classes[class.0].idempotency, head, body_length)?;
         if !headers.contains_key(&CORRELATION_ID) {
             return Err(RequestError::MissingCorrelationId);
         }
@@ -50,7 +50,7 @@
             class,
             tenant,
             time_left: Micros(time_left_ms.saturating_mul(MICROS_PER_MILLISECOND)),
-            margin: Micros(MARGIN_TICKS * settings.module.tick.0),
+            margin: Micros(MARGIN_TICKS * settings.balancer.tick.0),
             expected_work: parse_number(headers, &EXPECTED_WORK)?.map(Micros),
             is_client_retry: header_text(headers, &CLIENT_RETRY) == Some("1"),
         })
--- a/src/bin/load-balancer-proxy/startup.rs
+++ b/src/bin/load-balancer-proxy/startup.rs
@@ -9,7 +9,7 @@
 use crate::stall_detector::StallDetector;
 use crate::upstream::ConnectionPool;
 use load_balancer::discovery::start_times::StartTimes;
-use load_balancer::discovery::{Terms, Watch};
+use load_balancer::discovery::{Watch, WatchSettings};
 use load_balancer::net::resource_exhaustion::retry_blocking;
 use load_balancer::{ConfigError, EndpointListUpdate};
 use std::cell::Cell;
@@ -128,20 +128,20 @@
     let signals = Signals::install()?;
     let listener = open_listener(config.listen)?;
     tokio::task::spawn_local(stall_detector.clone().keep_polling());
-    let limits = ConnectionLimits::of(config.sockets);
+    let limits = ConnectionLimits::of(config.max_file_descriptors);
     let (dispatcher, messages) = mpsc::unbounded_channel();
     let shared = SharedHandles { clock, dispatcher, resubscribe: Rc::default(), status: Rc::default() };
     let settings = &config.settings;
-    let pool = ConnectionPool::new(clock, settings.dial_timeout, settings.conn_idle, limits.backends);
+    let pool = ConnectionPool::new(clock, settings.connect_timeout, settings.idle_timeout, limits.backends);
     let server = Server::new(server_handles(&shared, stall_detector), settings.clone(), limits.clients);
     let server = Rc::new(server);
     let (discovery_address, watched_address) = watch::channel(config.discovery);
-    let watch_terms = Rc::new(Cell::new(reload::watch_terms(settings)));
-    let discovery = prepare_discovery(&mut config, watched_address, watch_terms.clone(), &shared);
+    let watch_settings = Rc::new(Cell::new(reload::watch_settings(settings)));
+    let discovery = prepare_discovery(&mut config, watched_address, watch_settings.clone(), &shared);
     let restart_only = RestartOnlySettings::of(&config);
     start_dispatcher(config, pool, shared, messages)?;
     tokio::task::spawn_local(discovery.run());
-    let reloader = Reloader { restart_only, server: server.clone(), discovery_address, watch_terms };
+    let reloader = Reloader { restart_only, server: server.clone(), discovery_address, watch_settings };
     tokio::task::spawn_local(reloader.run(signals.hangup));
     server.run(listener, shutdown_signal(signals.terminate, signals.interrupt)).await;
     Ok(())
@@ -174,30 +174,31 @@
 
 /// Sends the cached list to the dispatcher, and returns the watch on discovery that goes on from it.
 fn prepare_discovery(
-    config: &mut Config, address: watch::Receiver<SocketAddr>, terms: Rc<Cell<Terms>>, shared: &SharedHandles,
+    config: &mut Config, address: watch::Receiver<SocketAddr>, settings: Rc<Cell<WatchSettings>>,
+    shared: &SharedHandles,
 ) -> Watch {
     let clock = shared.clock;
-    let cached = config.known.take();
-    let index = cached.as_ref().map(|list| list.index);
-    let mut targets = cached.map(|list| list.targets).unwrap_or_default();
-    let mut starts = StartTimes::default();
-    starts.place(clock.now(), true, &mut targets);
+    let cached = config.cached_list.take();
+    let version = cached.as_ref().map(|list| list.version);
+    let mut endpoints = cached.map(|list| list.endpoints).unwrap_or_default();
+    let mut start_times = StartTimes::default();
+    start_times.place(clock.now(), true, &mut endpoints);
     let dispatcher = shared.dispatcher.clone();
     let watch = Watch {
         address,
-        mode: config.settings.module.discovery,
-        terms,
-        index,
-        follow: shared.resubscribe.clone(),
+        mode: config.settings.balancer.discovery,
+        settings,
+        version,
+        resubscribe: shared.resubscribe.clone(),
         now: Box::new(move || clock.now()),
-        starts,
-        tell: Box::new(move |update, targets| {
-            let _ = dispatcher.send(DispatcherMessage::EndpointList { update, targets });
+        start_times,
+        on_update: Box::new(move |update, endpoints| {
+            let _ = dispatcher.send(DispatcherMessage::EndpointList { update, endpoints });
         }),
     };
     // An empty list is sent too: the balancer subscribes only once it has heard of its start.
     let update = EndpointListUpdate::Cached;
-    let _ = shared.dispatcher.send(DispatcherMessage::EndpointList { update, targets });
+    let _ = shared.dispatcher.send(DispatcherMessage::EndpointList { update, endpoints });
     watch
 }
 
@@ -209,8 +210,8 @@
     let status = shared.status.clone();
     let handles = DispatcherHandles {
         pool: Rc::new(pool),
-        inputs: shared.dispatcher,
-        follow: shared.resubscribe,
+        messages: shared.dispatcher,
+        resubscribe: shared.resubscribe,
         status: shared.status,
     };
     let dispatcher = Dispatcher::new(config.settings, config.seed, handles)?;
--- a/src/bin/load-balancer-proxy/upstream/attempt.rs
+++ b/src/bin/load-balancer-proxy/upstream/attempt.rs
@@ -100,11 +100,11 @@
         let Some(request) = self.request.to_http(self.limits.deadline - self.pool.clock.now()) else {
             return Ok(Outcome::NotSent.into());
         };
-        self.exchange(pooled, request, write_window_over).await
+        self.exchange_over(pooled, request, write_window_over).await
     }
 
     /// Writes the request and reads the response, if the request is fully written in time.
-    async fn exchange(
+    async fn exchange_over(
         &self, pooled: PooledConnection, request: Request<Full<Bytes>>,
         write_window_over: Pin<&mut impl Future<Output = ()>>,
     ) -> Result<UpstreamResult, StaleConnection> {
--- a/src/bin/load-balancer-proxy/upstream/backend.rs
+++ b/src/bin/load-balancer-proxy/upstream/backend.rs
@@ -1,7 +1,7 @@
 //! A backend as the upstream side knows it, with its idle connections.
 
 use super::connection::Connection;
-use load_balancer::discovery::Target;
+use load_balancer::wire::endpoint_list::Endpoint;
 use load_balancer::{BackendState, Micros, Time};
 use std::cell::{Cell, RefCell};
 
@@ -19,7 +19,7 @@
 /// One process of a backend: a restart makes a new one, so that no connection to the old is used.
 pub struct Upstream {
     /// The backend as the endpoint list first described this process.
-    pub target: Target,
+    pub endpoint: Endpoint,
     is_ready: Cell<bool>,
     idle: RefCell<Vec<IdleConnection>>,
     /// The pool lists it among the backends with idle connections.
@@ -36,9 +36,9 @@
 
 impl Upstream {
     /// A process that the endpoint list names, without connections yet.
-    pub fn new(target: Target) -> Upstream {
-        let is_ready = Cell::new(target.backend.state == BackendState::Ready);
-        Upstream { target, is_ready, idle: RefCell::default(), listed_as_idle: Cell::default() }
+    pub fn new(endpoint: Endpoint) -> Upstream {
+        let is_ready = Cell::new(endpoint.backend.state == BackendState::Ready);
+        Upstream { endpoint, is_ready, idle: RefCell::default(), listed_as_idle: Cell::default() }
     }
 
     /// Whether it may be sent requests; asked again before the first byte of each.
--- a/src/bin/load-balancer-proxy/upstream/connection.rs
+++ b/src/bin/load-balancer-proxy/upstream/connection.rs
@@ -42,7 +42,7 @@
     /// Sends the request and reads the response to its end. A connection that breaks shows in the result.
     pub async fn exchange(&mut self, request: Request<Full<Bytes>>) -> Result<UpstreamResult, ExchangeError> {
         self.write_progress.set(WriteProgress::NotStarted);
-        let mut exchange = pin!(response::exchange(&mut self.sender, request));
+        let mut exchange = pin!(response::send_and_read(&mut self.sender, request));
         poll_fn(|context| {
             if !self.is_closed {
                 self.is_closed = self.driver.as_mut().poll(context).is_ready();
--- a/src/bin/load-balancer-proxy/upstream/connection_pool.rs
+++ b/src/bin/load-balancer-proxy/upstream/connection_pool.rs
@@ -86,7 +86,7 @@
     }
 
     /// Closes the connections to a backend that have been idle for too long, or that the backend has closed.
-    pub async fn close_stale(&self, upstream: &Rc<Upstream>) {
+    pub async fn close_expired_idle(&self, upstream: &Rc<Upstream>) {
         let mut kept = upstream.take_all_idle();
         let oldest = self.clock.now().saturating_sub(self.idle_limit.get());
         kept.retain(|idle| idle.since > oldest);
@@ -102,7 +102,7 @@
         match self.reuse_idle(upstream).await {
             Some(connection) => Ok(PooledConnection { connection, is_reused: true }),
             None => {
-                let connection = self.open(upstream.target.address).await?;
+                let connection = self.open(upstream.endpoint.address).await?;
                 Ok(PooledConnection { connection, is_reused: false })
             }
         }
@@ -174,7 +174,7 @@
                 with_idle.push_back(listed);
             }
             if idle.closed {
-                tracing::debug!(address = %upstream.target.address, "idle connection closed for another");
+                tracing::debug!(address = %upstream.endpoint.address, "idle connection closed for another");
                 return true;
             }
         }
--- a/src/bin/load-balancer-proxy/upstream/request.rs
+++ b/src/bin/load-balancer-proxy/upstream/request.rs
@@ -36,7 +36,7 @@
     }
 
     /// The id under which all parties know the request, for the log: `-` where it is not plain text.
-    pub fn correlation(&self) -> &str {
+    pub fn correlation_id(&self) -> &str {
         let value = self.head.headers().get(&CORRELATION_ID);
         value.and_then(|value| value.to_str().ok()).unwrap_or("-")
     }
--- a/src/bin/load-balancer-proxy/upstream/response.rs
+++ b/src/bin/load-balancer-proxy/upstream/response.rs
@@ -52,7 +52,7 @@
 }
 
 /// Sends the request and reads the response to its end: a truncated one must not reach the client.
-pub(super) async fn exchange(
+pub(super) async fn send_and_read(
     sender: &mut SendRequest<Full<Bytes>>, request: Request<Full<Bytes>>,
 ) -> Result<UpstreamResult, ExchangeError> {
     let (head, body) = sender.send_request(request).await?.into_parts();
