--- a/tests/proxy/away.rs
+++ b/tests/proxy/away.rs
@@ -1,6 +1,8 @@
 //! Discovery that is away and comes back: how soon the built proxy holds what it has to tell.
 
-use crate::sockets::{self, changed, config, line, until, HeldPort, Proxy};
+use crate::support::{
+    changed, config, line, ok, read_message, refusing_address, until, HeldPort, Proxy, Reply, LONG,
+};
 use serde_json::{json, Value};
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -38,9 +40,10 @@
 fn converse(mut stream: TcpStream, fault: Fault, back: &AtomicBool) {
     let Ok(read) = stream.try_clone() else { return };
     let mut reader = BufReader::new(read);
-    while sockets::read_message(&mut reader).is_some() {
-        let list = json!({"index": 7, "snapshot": true, "endpoints": [line("a", sockets::refusing_address(), "ready", 0)]});
-        let sockets::Reply::Say(answer) = sockets::ok(&list.to_string()) else { return };
+    while read_message(&mut reader).is_some() {
+        let list =
+            json!({"index": 7, "snapshot": true, "endpoints": [line("a", refusing_address(), "ready", 0)]});
+        let Reply::Say(answer) = ok(&list.to_string()) else { return };
         let _ = match fault {
             _ if back.load(Ordering::SeqCst) => stream.write_all(answer.as_bytes()),
             Fault::Busy => stream.write_all(b"HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n"),
@@ -79,7 +82,7 @@
 /// How long after the return of its service a proxy holds the list that it had not.
 fn told_after(fault: Fault, mode: &str, position: u32, known: bool) -> Duration {
     let service = Service::away(fault);
-    let mut config = config(service.address, &[line("a", sockets::refusing_address(), "draining", 0)]);
+    let mut config = config(service.address, &[line("a", refusing_address(), "draining", 0)]);
     config["settings"]["discovery"] = json!(mode);
     config["settings"]["group_size"] = json!(470);
     config["settings"]["position"] = json!(position);
@@ -118,6 +121,7 @@
 /// A service with too many callers: it handles calls one after another, each for this long, and turns away those that
 /// find so many in its queue.
 const HANDLING: Duration = Duration::from_millis(60);
+
 const QUEUE: usize = 8;
 
 struct Overbooked {
@@ -144,9 +148,9 @@
     fn converse(mut stream: TcpStream, queue: &(Mutex<()>, AtomicUsize), refused: &AtomicUsize, list: &str) {
         let Ok(read) = stream.try_clone() else { return };
         let mut reader = BufReader::new(read);
-        while let Some(call) = sockets::read_message(&mut reader) {
+        while let Some(call) = read_message(&mut reader) {
             if call.start.contains("after=7&") {
-                std::thread::park_timeout(sockets::LONG); // a watch on the list that never changes again
+                std::thread::park_timeout(LONG); // a watch on the list that never changes again
                 return;
             }
             let answer = if queue.1.fetch_add(1, Ordering::SeqCst) < QUEUE {
@@ -171,10 +175,10 @@
 #[test]
 fn nine_in_ten_of_those_that_start_together_are_ready_within_10_s() {
     const STARTED: u32 = 40;
-    let ready = line("b", sockets::refusing_address(), "ready", 0);
+    let ready = line("b", refusing_address(), "ready", 0);
     let service = Overbooked::start(json!({"index": 7, "snapshot": true, "endpoints": [ready]}).to_string());
     let start = |n: u32| {
-        let stale = [line("a", sockets::refusing_address(), "draining", 0)];
+        let stale = [line("a", refusing_address(), "draining", 0)];
         let mut config = config(service.address, &stale);
         config["settings"]["discovery"] = json!("subscribe");
         config["settings"]["group_size"] = json!(57);
--- a/tests/proxy/clocks.rs
+++ b/tests/proxy/clocks.rs
@@ -1,8 +1,7 @@
 //! The wall clock of the machine may be wrong before the start, and stepped at any time: what is a span of real time
 //! stays one.
 
-use crate::faults::Faults;
-use crate::sockets::*;
+use crate::support::{changed, config, line, ok, request, until, Backend, Client, Discovery, Faults, Proxy};
 use serde_json::{json, Value};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
--- a/tests/proxy/crowd.rs
+++ b/tests/proxy/crowd.rs
@@ -1,6 +1,8 @@
 //! Idle clients that fill the descriptors, new ones coming all the time.
 
-use crate::sockets::*;
+use crate::support::{
+    ask, config, line, ok, refusing_address, request, until, Backend, Client, Discovery, HeldPort, Proxy,
+};
 use serde_json::json;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
--- a/tests/proxy/leaving.rs
+++ b/tests/proxy/leaving.rs
@@ -1,8 +1,9 @@
 //! Clients that leave, many at once: no attempt of theirs begins afterwards, further ones included, and none during the
 //! end of the process. Their leaving shows at once, not when their time is up.
 
-use crate::sockets::*;
-use crate::{patient, Late};
+use crate::support::{
+    ask, changed, config, line, ok, patient, request, until, Backend, Client, Discovery, Late, Proxy, Reply,
+};
 use serde_json::json;
 use std::time::{Duration, Instant};
 
--- a/tests/proxy/main.rs
+++ b/tests/proxy/main.rs
@@ -3,28 +3,23 @@
 mod away;
 mod clocks;
 mod crowd;
-mod faults;
 mod leaving;
 mod reload;
 mod short_calls;
 mod slow_clients;
 mod soak;
-mod sockets;
+mod support;
 mod time_left;
 mod unframed;
+use crate::support::{
+    ask, changed, config, line, ok, patient, proxy_for, read_message, refusing_address, request, until,
+    warm_up, Backend, Client, Discovery, Late, Message, Proxy, Reply,
+};
 use serde_json::{json, Value};
-use sockets::*;
-use std::io::{Read, Write};
-use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::io::Write;
+use std::net::TcpListener;
 use std::time::{Duration, Instant};
 
-/// A proxy that knows these backends, by name, and its discovery.
-fn proxy_for(backends: &[(&str, &Backend)]) -> (Proxy, Discovery) {
-    let discovery = Discovery::start();
-    let lines: Vec<Value> = backends.iter().map(|(n, b)| line(n, b.address, "ready", 0)).collect();
-    (Proxy::start(&config(discovery.address, &lines)), discovery)
-}
-
 #[test]
 fn a_request_goes_on_unchanged_and_so_does_its_answer() {
     let backend = Backend::start(|_| ok("the answer"));
@@ -163,11 +158,6 @@
     assert_eq!(backend.requests().len(), 3);
 }
 
-/// Requests enough that the module has retries to spend.
-fn warm_up(proxy: &Proxy) {
-    (0..10).for_each(|_| assert_eq!(ask(proxy, &request("read", 7000)).status(), 200));
-}
-
 /// After the warm-up the first backend to be asked for the class does `first`, whoever is asked next serves. The
 /// warm-up does not count: on a loaded machine one of its requests may be sent twice.
 fn outcome_of(first: fn() -> Reply, class: &'static str) -> (u16, usize) {
@@ -415,50 +405,6 @@
     (0..20).for_each(|_| assert_eq!(ask(&proxy, &request("read", 7000)).body, b"b"));
 }
 
-/// A backend whose connections come up late: they wait in a full queue until its listener accepts.
-struct Late {
-    listener: TcpListener,
-    address: SocketAddr,
-    queued: Vec<TcpStream>,
-}
-
-impl Late {
-    fn start() -> Late {
-        let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-        let address = listener.local_addr().unwrap();
-        let brief = Duration::from_millis(300);
-        let queued =
-            std::iter::from_fn(|| TcpStream::connect_timeout(&address, brief).ok()).take(10_000).collect();
-        Late { listener, address, queued }
-    }
-
-    /// Lets them come up; afterwards tells how many bytes came on all of them.
-    fn accept(self) -> impl FnOnce() -> usize {
-        let Late { listener, address, queued } = self;
-        drop(queued);
-        let bytes = std::thread::spawn(move || {
-            let (mut bytes, mut buffer) = (0, [0; 64]);
-            for mut stream in listener.incoming().map_while(Result::ok) {
-                match stream.read(&mut buffer) {
-                    Ok(n) if buffer.starts_with(b"done") => return bytes + n - 4,
-                    Ok(n) => bytes += n,
-                    Err(_) => {}
-                }
-            }
-            bytes
-        });
-        move || {
-            TcpStream::connect(address).unwrap().write_all(b"done").unwrap();
-            bytes.join().unwrap()
-        }
-    }
-}
-
-/// The configuration of a proxy that waits for such connections.
-fn patient(discovery: &Discovery, lines: &[Value]) -> Value {
-    changed(&config(discovery.address, lines), "/settings/limits/dial_timeout_us", json!(20_000_000))
-}
-
 /// A backend may be told to drain while the connection to it comes up: not a byte goes there then.
 #[test]
 fn a_drain_is_seen_after_the_connect() {
--- a/tests/proxy/reload.rs
+++ b/tests/proxy/reload.rs
@@ -1,6 +1,8 @@
 //! A replaced configuration file and SIGHUP, through the built proxy: everything that may change while it runs.
 
-use crate::sockets::*;
+use crate::support::{
+    ask, changed, config, line, ok, request, settings, until, Backend, Client, Discovery, Proxy, Reply,
+};
 use serde_json::{json, Value};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
@@ -329,6 +331,7 @@
 }
 
 const CLASSES: usize = 5_900;
+
 const TENANTS: usize = 19_000;
 
 /// The longest that any of a steady stream of requests takes while such files come into force, one after another.
--- a/tests/proxy/short_calls.rs
+++ b/tests/proxy/short_calls.rs
@@ -1,11 +1,13 @@
 //! System calls that fail for a moment for want of this machine's means, or over one connection alone.
 
-use crate::faults::Faults;
-use crate::sockets::*;
+use crate::support::{
+    ask, config, line, ok, request, until, Backend, Client, Discovery, Faults, Proxy, Reply,
+};
 use std::time::{Duration, Instant};
 
 /// Clients that connect one after another while the proxy ends: from 0.2 to 0.4 s after SIGTERM they still may.
 const CLIENTS: u32 = 160;
+
 const COMING: (Duration, Duration) = (Duration::from_millis(200), Duration::from_millis(400));
 
 /// How many clients had no answer that came while the proxy was told to end.
--- a/tests/proxy/slow_clients.rs
+++ b/tests/proxy/slow_clients.rs
@@ -1,8 +1,7 @@
 //! Clients that write slowly, beside peers that send no whole request: the former are owed their time, the latter an
 //! end within 3 s of connecting.
 
-use crate::proxy_for;
-use crate::sockets::*;
+use crate::support::{config, line, ok, proxy_for, request, Backend, Client, Discovery, Proxy};
 use serde_json::json;
 use std::time::{Duration, Instant};
 
--- a/tests/proxy/soak.rs
+++ b/tests/proxy/soak.rs
@@ -1,8 +1,9 @@
 //! A proxy among all its troubles at once, judged request by request. What goes wrong and when is drawn from a seed.
 //! `SOAK_SEEDS=FROM..TO` plays others than the few that every change has to pass.
 
-use crate::faults::Faults;
-use crate::sockets::*;
+use crate::support::{
+    config, line, ok, request, until, Backend, Client, Discovery, Faults, Message, Proxy, Reply,
+};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 use serde_json::{json, Value};
@@ -13,24 +14,36 @@
 
 /// Seeds that every change has to pass, side by side.
 const SEEDS: std::ops::Range<u64> = 1..5;
+
 /// Plays side by side.
 const AT_ONCE: usize = 4;
+
 /// Requests come and troubles happen for so long, until the proxy is told to end.
 const TROUBLE: Duration = Duration::from_secs(12);
+
 const CLIENTS: u64 = 10;
+
 const BACKENDS: usize = 4;
+
 /// What the rules allow beyond their figures, and what the threads of this test may be late on a loaded machine.
 const SLACK: Duration = Duration::from_millis(50);
+
 const LATE_THREADS: Duration = Duration::from_millis(400);
+
 /// A request that gets its answer so long after its time is lost.
 const ANSWER_LATEST: Duration = Duration::from_millis(500);
+
 /// An attempt that begins later than this after its client closed is a break.
 const AFTER_CLOSE: Duration = Duration::from_millis(100);
+
 /// What an attempt may tell its backend beyond what its client has left.
 const TOLD_SLACK: Duration = Duration::from_millis(150);
+
 /// SIGKILL comes so long after SIGTERM and the longest deadline, which counts as 3 s at most.
 const KILL_AFTER: Duration = Duration::from_millis(700);
+
 const LONGEST_COUNTED: Duration = Duration::from_secs(3);
+
 /// Sends to a backend that drains must cease so soon.
 const STOP_SENDING: Duration = Duration::from_secs(1);
 
--- a/tests/proxy/faults.rs
+++ b/tests/proxy/support/faults.rs
@@ -1,22 +1,23 @@
-//! Faults of the machine around the proxy: system calls that fail for a moment, a wall clock that is wrong or stepped,
-//! a process that is held up.
+//! Faults of the machine around the proxy: system calls that fail for a moment, and a wall clock that is wrong or stepped.
 
-use crate::sockets::Proxy;
 use std::os::unix::fs::FileExt;
 use std::path::{Path, PathBuf};
 use std::process::Command;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::OnceLock;
-use std::time::{Duration, Instant};
 
 /// Numbers the files that proxies share with their tests.
 static FILES: AtomicUsize = AtomicUsize::new(0);
 
 /// Offsets of the fields of `struct faults` in `faults.c`.
 const CLOCK_OFFSET: u64 = 0;
+
 const ACCEPT_PERCENT: u64 = 8;
+
 const CONNECT_PERCENT: u64 = 16;
+
 const RELOAD_PERCENT: u64 = 24;
+
 const SIZE: usize = 32;
 
 /// What goes wrong with the system calls of one proxy.
@@ -75,7 +76,7 @@
 fn preloaded() -> &'static Path {
     static LIBRARY: OnceLock<PathBuf> = OnceLock::new();
     LIBRARY.get_or_init(|| {
-        let source = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/proxy/faults.c");
+        let source = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/proxy/support/faults.c");
         let library =
             Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("faults-{}.so", std::process::id()));
         let built =
@@ -84,16 +85,3 @@
         library
     })
 }
-
-impl Proxy {
-    /// Stops the process for so long, as a busy machine might. Returns how long it may have been stopped: on a loaded
-    /// machine that is longer.
-    pub fn hold_up(&self, during: Duration, meanwhile: impl FnOnce()) -> Duration {
-        let began = Instant::now();
-        self.signal("-STOP");
-        meanwhile();
-        std::thread::sleep(during.saturating_sub(began.elapsed()));
-        self.signal("-CONT");
-        began.elapsed()
-    }
-}
--- a/tests/proxy/time_left.rs
+++ b/tests/proxy/time_left.rs
@@ -1,12 +1,12 @@
 //! The time that an attempt tells its backend is at most what its client has left, with 0.15 s of slack.
 
-use crate::proxy_for;
-use crate::sockets::*;
+use crate::support::{config, line, ok, proxy_for, request, Backend, Client, Discovery, Proxy};
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
 /// A proxy may be held up for so long.
 const HELD_UP: Duration = Duration::from_millis(150);
+
 /// A hold-up before the request is read has to leave the slack to one after the time is told.
 const SPARE: Duration = Duration::from_millis(60);
 
--- a/tests/proxy/unframed.rs
+++ b/tests/proxy/unframed.rs
@@ -1,7 +1,9 @@
 //! Answers without a length: only the end of their connection tells where they end.
 
-use crate::sockets::*;
-use crate::{proxy_for, warm_up};
+use crate::support::{
+    ask, config, line, ok, proxy_for, read_message, request, warm_up, Backend, Discovery, Message, Proxy,
+    Reply,
+};
 use std::io::Write;
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::Duration;
