--- a/tests/proxy/leaving.rs
+++ b/tests/proxy/client_disconnects.rs
@@ -1,12 +1,80 @@
-//! Clients that leave, many at once: no attempt of theirs begins afterwards, further ones included, and none during the
-//! end of the process. Their leaving shows at once, not when their time is up.
+//! Clients that disconnect, alone or many at once: no attempt of theirs begins afterwards, retries and the end of the
+//! process included, and it shows at once, not when their time is up.
 
 use crate::support::{
-    ask, changed, config, line, ok, patient, request, until, Backend, Client, Discovery, Late, Proxy, Reply,
+    ask, changed, config, line, ok, patient, proxy_for, request, until, Backend, Client, Discovery, Late,
+    Proxy, Reply,
 };
 use serde_json::json;
 use std::time::{Duration, Instant};
 
+#[test]
+fn a_client_that_leaves_ends_its_attempt() {
+    let backend = Backend::start(|_| Reply::Silence);
+    let (proxy, _discovery) = proxy_for(&[("a", &backend)]);
+    let mut client = Client::open(proxy.address);
+    client.send(&request("pay", 60_000));
+    until("the attempt", || backend.requests().len() == 1);
+    drop(client);
+    until("its connection closed", || backend.closed() == 1);
+}
+
+/// What a client has sent beyond its request hides from a server that has stopped reading that the client is gone.
+/// Its request is neither held for a backend that comes up later nor worked on any longer.
+#[test]
+fn a_client_that_leaves_is_noticed_whatever_it_sent_before() {
+    let (read, pay) = (request("read", 60_000), request("pay", 60_000));
+    let sent_before = [String::new(), "GET /re".into(), read, "x".repeat(8 << 10), "x".repeat(1 << 20)];
+    for beyond in &sent_before {
+        let backend = Backend::start(|m| if m.start.contains("/pay/") { Reply::Silence } else { ok("x") });
+        let (proxy, discovery) = proxy_for(&[("a", &backend)]);
+        let leave = || {
+            let mut client = Client::open(proxy.address);
+            client.send(&format!("{pay}{beyond}"));
+            client
+        };
+        let client = leave();
+        until("the attempt", || backend.requests().len() == 1);
+        drop(client);
+        until("its connection closed", || backend.closed() == 1);
+        discovery.tell(false, &[line("a", backend.address, "draining", 0)]);
+        let leavers: Vec<Client> = (0..20).map(|_| leave()).collect();
+        until("all are held", || proxy.log().matches("request received ").count() == 21);
+        drop(leavers);
+        until("all are gone", || {
+            proxy.log().matches("request ended outcome=client_disconnected ").count() == 21
+        });
+        discovery.tell(false, &[line("a", backend.address, "ready", 0)]);
+        assert_eq!(ask(&proxy, &request("read", 7000)).status(), 200);
+        assert_eq!(backend.requests().len(), 2, "after {} bytes more", beyond.len());
+    }
+}
+
+/// Where attempts may not be called off, one that has not begun as its client leaves still must never be written;
+/// nor may a copy that still dials as the first attempt brings the answer.
+#[test]
+fn an_attempt_not_yet_begun_is_not_written_once_its_client_has_left() {
+    for cancel in [true, false] {
+        let (late, discovery) = (Late::start(), Discovery::start());
+        let config = patient(&discovery, &[line("a", late.address, "ready", 0)]);
+        let proxy = Proxy::start(&changed(&config, "/settings/limits/cancel", json!(cancel)));
+        let mut clients = Vec::new();
+        for class in ["read", "vote", "pay"] {
+            let mut client = Client::open(proxy.address);
+            client.send(&request(class, 60_000));
+            clients.push(client);
+        }
+        until("the attempts", || proxy.log().matches("attempt dispatched attempt=0 ").count() == 3);
+        drop(clients);
+        until("all are gone", || {
+            proxy.log().matches("request ended outcome=client_disconnected ").count() == 3
+        });
+        let bytes = late.accept();
+        until("the end of all", || proxy.log().matches("attempt ended attempt=0 ").count() == 3);
+        assert_eq!(bytes(), 0, "cancel: {cancel}");
+    }
+}
+
 const LEAVERS: usize = 100;
 
 /// So many clients, each with one request of which the log has told this.
