--- a/tests/fleet.rs
+++ b/tests/balancer/fleet.rs
@@ -1,9 +1,9 @@
 //! What many proxies do together, each a module of its own that knows nothing of the others.
 
-mod common;
-use common::{backend, serve, Host};
-use load_balancer::*;
+use crate::support::{backend, serve, Host};
+use load_balancer::{Backend, Config, DiscoveryMode, EndpointListUpdate, Event, Micros, Outcome};
 use rand_core::{RngCore, SeedableRng};
+use rand_pcg::Pcg32;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The proxies of a fleet, all told the same list.
@@ -168,7 +168,7 @@
 /// For so many steps, `per_s` requests a second come to the proxies by chance, each answered after one step;
 /// gives when each try went to the backend that is watched.
 fn times_sent_to(watched: u32, hosts: &mut [Host], per_s: f64, step: u64, steps: u32) -> Vec<u64> {
-    let mut dice = rand_pcg::Pcg32::seed_from_u64(hosts.len() as u64);
+    let mut dice = Pcg32::seed_from_u64(hosts.len() as u64);
     let mean = per_s * step as f64 / 1e6 / hosts.len() as f64;
     let mut sent = Vec::new();
     for host in hosts {
--- a/tests/growth.rs
+++ b/tests/balancer/fleet_growth.rs
@@ -1,9 +1,8 @@
 //! What a proxy needs in a fleet three times as large before sixteen times the backends, beside what it needs in its own.
 //! The traffic of a proxy stays the same. Modules alone, with a pool of connections as the proxy keeps it.
 
-mod common;
-use common::{backend, Host};
-use load_balancer::*;
+use crate::support::{backend, Host};
+use load_balancer::{Backend, BackendState, Config, EndpointListUpdate, Micros, Outcome};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 use std::cmp::Reverse;
@@ -11,11 +10,15 @@
 
 /// Two arrivals of a proxy are so far apart on average, and a request takes so long, both by chance.
 const ARRIVALS: f64 = 16_667.0;
+
 const SERVICE: f64 = 45_000.0;
+
 /// An idle connection is closed after this.
 const IDLE: u64 = 5_000_000;
+
 /// In this time half of the backends are replaced.
 const RELEASE: u64 = 25_000_000;
+
 const KINDS: u32 = 2;
 
 /// How large a fleet is.
@@ -26,6 +29,7 @@
 }
 
 const USUAL: Size = Size { proxies: 300, backends: 200 };
+
 const LARGE: Size = Size { proxies: 900, backends: 3200 };
 
 /// The connections of one proxy: until when the last request on each is out.
--- a/tests/ramp.rs
+++ b/tests/balancer/fleet_slow_start.rs
@@ -2,18 +2,21 @@
 //! the settings allow a cold backend in a window, and 2 x root of N + 2 more is chance. Modules alone: each knows
 //! nothing of the others, and their attempts all take the time that one request takes a warm backend.
 
-mod common;
-use common::{backend, Host};
-use load_balancer::*;
+use crate::support::{backend, Host};
+use load_balancer::{Backend, Config, EndpointListUpdate, Micros, Outcome};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 
 /// A warm backend's time for one request of mean work.
 const SERVICE: u64 = 50_000;
+
 const STEP: u64 = 25_000;
+
 const BACKENDS: u32 = 60;
+
 /// Steps before and after the start of the cold ones.
 const WARM_STEPS: u64 = 160;
+
 const COLD_STEPS: u64 = 240;
 
 /// A fleet, its load and what happens to it.
--- a/tests/invariants.rs
+++ b/tests/balancer/invariants.rs
@@ -1,8 +1,10 @@
-//! The rules as invariants over generated sequences of events; `common::Host` checks each action.
+//! The rules as invariants over generated sequences of events; `support::Host` checks each action.
 
-mod common;
-use common::{backend, class, Host};
-use load_balancer::*;
+use crate::support::{backend, class, Host, Open};
+use load_balancer::{
+    AttemptNumber, Backend, BackendState, Class, Config, DiscoveryMode, EndpointListUpdate, Event,
+    Idempotency, IdempotencyScope, Micros, Outcome, RequestId, Tenant, TenantId, TimerToken,
+};
 use proptest::prelude::*;
 use proptest::test_runner::{RngAlgorithm, TestRng, TestRunner};
 
@@ -125,7 +127,7 @@
         trace.push(format!("{:?}", host.last));
     }
     host.advance(3_000_000);
-    let answered = |r: &common::Open| r.answer.is_some() || r.streaming;
+    let answered = |r: &Open| r.answer.is_some() || r.streaming;
     assert!(host.requests.values().all(answered), "a request was left without an answer");
     trace
 }
--- a/tests/common/mod.rs
+++ b/tests/balancer/support/host.rs
@@ -1,7 +1,10 @@
 //! A host for one balancer that carries out its actions and checks every rule as it goes.
-#![allow(dead_code)]
 
-use load_balancer::*;
+use load_balancer::{
+    Action, AttemptNumber, AttemptResult, Backend, BackendId, BackendState, Balancer, CellId, Class, ClassId,
+    Config, ConfigUpdate, DiscoveryMode, EndpointListUpdate, Event, Idempotency, IdempotencyScope, LogEvent,
+    Micros, Outcome, RequestArrival, RequestId, TenantId, Time, TimerToken, ZoneId,
+};
 use std::collections::BTreeMap;
 
 #[derive(Clone)]
@@ -47,28 +50,6 @@
     next: u64,
 }
 
-pub fn backend(id: u32, zone: u32, kind: u32) -> Backend {
-    Backend {
-        id: BackendId(u64::from(id)),
-        zone: ZoneId(u64::from(zone)),
-        cell: CellId(u64::from(zone) * 2 + u64::from(id % 2)),
-        kind: KindId(u64::from(kind)),
-        state: BackendState::Ready,
-        started_at: None,
-        weight: 1.0,
-    }
-}
-
-pub fn class(effect: Idempotency) -> Class {
-    Class {
-        latency_objective: Micros(400_000),
-        objective_per_work: 0.0,
-        idempotency: effect,
-        priority_weight: 1.0,
-        late_weight_fraction: 0.0,
-    }
-}
-
 impl Host {
     pub fn new(cfg: Config, seed: u64) -> Host {
         let balancer = Balancer::new(cfg.clone(), seed).expect("sound");
