--- a/tests/proxy/client_disconnects.rs
+++ b/tests/proxy/client_disconnects.rs
@@ -2,169 +2,191 @@
 //! process included, and it shows at once, not when their time is up.
 
 use crate::support::{
-    ask, changed, config, line, ok, patient, proxy_for, request, until, Backend, Client, Discovery, Late,
-    Proxy, Reply,
+    config, config_with_long_connect_timeout, endpoint, ok_response, proxy_for, request, send_request,
+    wait_until, with_value, Backend, Client, Discovery, Message, ProxyProcess, Reply, SlowAcceptBackend,
 };
 use serde_json::json;
 use std::time::{Duration, Instant};
 
+/// Guards against an attempt that goes on after its client has disconnected.
 #[test]
 fn a_client_that_leaves_ends_its_attempt() {
-    let backend = Backend::start(|_| Reply::Silence);
+    let backend = Backend::start(|_| Reply::NoResponse);
     let (proxy, _discovery) = proxy_for(&[("a", &backend)]);
     let mut client = Client::open(proxy.address);
     client.send(&request("pay", 60_000));
-    until("the attempt", || backend.requests().len() == 1);
+    wait_until("the attempt", || backend.requests().len() == 1);
     drop(client);
-    until("its connection closed", || backend.closed() == 1);
+    wait_until("its connection closed", || backend.closed_connections() == 1);
 }
 
-/// What a client has sent beyond its request hides from a server that has stopped reading that the client is gone.
-/// Its request is neither held for a backend that comes up later nor worked on any longer.
+/// Guards against unread bytes that hide the end of a connection: its request would stay queued and be sent.
 #[test]
 fn a_client_that_leaves_is_noticed_whatever_it_sent_before() {
     let (read, pay) = (request("read", 60_000), request("pay", 60_000));
-    let sent_before = [String::new(), "GET /re".into(), read, "x".repeat(8 << 10), "x".repeat(1 << 20)];
-    for beyond in &sent_before {
-        let backend = Backend::start(|m| if m.start.contains("/pay/") { Reply::Silence } else { ok("x") });
+    let extra_bytes = [String::new(), "GET /re".into(), read, "x".repeat(8 << 10), "x".repeat(1 << 20)];
+    for extra in &extra_bytes {
+        let respond = |message: &Message| match message.start_line.contains("/pay/") {
+            true => Reply::NoResponse,
+            false => ok_response("x"),
+        };
+        let backend = Backend::start(respond);
         let (proxy, discovery) = proxy_for(&[("a", &backend)]);
-        let leave = || {
+        let open_with_extra = || {
             let mut client = Client::open(proxy.address);
-            client.send(&format!("{pay}{beyond}"));
+            client.send(&format!("{pay}{extra}"));
             client
         };
-        let client = leave();
-        until("the attempt", || backend.requests().len() == 1);
+        let client = open_with_extra();
+        wait_until("the attempt", || backend.requests().len() == 1);
         drop(client);
-        until("its connection closed", || backend.closed() == 1);
-        discovery.tell(false, &[line("a", backend.address, "draining", 0)]);
-        let leavers: Vec<Client> = (0..20).map(|_| leave()).collect();
-        until("all are held", || proxy.log().matches("request received ").count() == 21);
-        drop(leavers);
-        until("all are gone", || {
-            proxy.log().matches("request ended outcome=client_disconnected ").count() == 21
+        wait_until("its connection closed", || backend.closed_connections() == 1);
+        discovery.publish_delta(&[endpoint("a", backend.address, "draining", 0)]);
+        let clients: Vec<Client> = (0..20).map(|_| open_with_extra()).collect();
+        wait_until("all are queued", || proxy.count_in_log("request received ") == 21);
+        drop(clients);
+        wait_until("all have disconnected", || {
+            proxy.count_in_log("request ended outcome=client_disconnected ") == 21
         });
-        discovery.tell(false, &[line("a", backend.address, "ready", 0)]);
-        assert_eq!(ask(&proxy, &request("read", 7000)).status(), 200);
-        assert_eq!(backend.requests().len(), 2, "after {} bytes more", beyond.len());
+        discovery.publish_delta(&[endpoint("a", backend.address, "ready", 0)]);
+        assert_eq!(send_request(&proxy, &request("read", 7000)).status(), 200);
+        assert_eq!(backend.requests().len(), 2, "after {} bytes more", extra.len());
     }
 }
 
-/// Where attempts may not be called off, one that has not begun as its client leaves still must never be written;
-/// nor may a copy that still dials as the first attempt brings the answer.
+/// Guards against an attempt that is written once its connection comes up, though its client has disconnected.
 #[test]
 fn an_attempt_not_yet_begun_is_not_written_once_its_client_has_left() {
-    for cancel in [true, false] {
-        let (late, discovery) = (Late::start(), Discovery::start());
-        let config = patient(&discovery, &[line("a", late.address, "ready", 0)]);
-        let proxy = Proxy::start(&changed(&config, "/settings/limits/cancel", json!(cancel)));
+    for can_cancel in [true, false] {
+        let (slow_backend, discovery) = (SlowAcceptBackend::start(), Discovery::start());
+        let config =
+            config_with_long_connect_timeout(&discovery, &[endpoint("a", slow_backend.address, "ready", 0)]);
+        let proxy = ProxyProcess::start(&with_value(&config, "/settings/limits/cancel", json!(can_cancel)));
         let mut clients = Vec::new();
         for class in ["read", "vote", "pay"] {
             let mut client = Client::open(proxy.address);
             client.send(&request(class, 60_000));
             clients.push(client);
         }
-        until("the attempts", || proxy.log().matches("attempt dispatched attempt=0 ").count() == 3);
+        wait_until("the attempts", || proxy.count_in_log("attempt dispatched attempt=0 ") == 3);
         drop(clients);
-        until("all are gone", || {
-            proxy.log().matches("request ended outcome=client_disconnected ").count() == 3
+        wait_until("all have disconnected", || {
+            proxy.count_in_log("request ended outcome=client_disconnected ") == 3
         });
-        let bytes = late.accept();
-        until("the end of all", || proxy.log().matches("attempt ended attempt=0 ").count() == 3);
-        assert_eq!(bytes(), 0, "cancel: {cancel}");
+        let bytes = slow_backend.accept();
+        wait_until("the end of all", || proxy.count_in_log("attempt ended attempt=0 ") == 3);
+        assert_eq!(bytes(), 0, "cancel: {can_cancel}");
     }
 }
 
-const LEAVERS: usize = 100;
+/// Clients that disconnect at one moment.
+const CLIENTS: usize = 100;
 
-/// So many clients, each with one request of which the log has told this.
-fn waiting(proxy: &Proxy, class: &str, told: &str) -> Vec<Client> {
-    let before = proxy.log().matches(told).count();
-    let ask = |_| {
+/// Opens all clients, each with one request, and waits until this event of each is logged.
+fn open_clients(proxy: &ProxyProcess, class: &str, logged: &str) -> Vec<Client> {
+    let before = proxy.count_in_log(logged);
+    let open = |_| {
         let mut client = Client::open(proxy.address);
         client.send(&request(class, 60_000));
         client
     };
-    let clients = (0..LEAVERS).map(ask).collect();
-    until("all wait", || proxy.log().matches(told).count() >= before + LEAVERS);
+    let clients = (0..CLIENTS).map(open).collect();
+    wait_until("all wait", || proxy.count_in_log(logged) >= before + CLIENTS);
     clients
 }
 
-/// All leave at one moment; the proxy knows soon. The rule's 0.1 s would be too narrow on a loaded machine.
-fn leave(proxy: &Proxy, clients: Vec<Client>) {
-    let before = proxy.log().matches("request ended outcome=client_disconnected ").count();
+/// All disconnect at one moment; the proxy notices soon. The rule's 0.1 s is too narrow on a loaded machine.
+fn disconnect(proxy: &ProxyProcess, clients: Vec<Client>) {
+    let before = proxy.count_in_log("request ended outcome=client_disconnected ");
     let began = Instant::now();
     drop(clients);
-    until("all are gone", || {
-        proxy.log().matches("request ended outcome=client_disconnected ").count() >= before + LEAVERS
+    wait_until("all have disconnected", || {
+        proxy.count_in_log("request ended outcome=client_disconnected ") >= before + CLIENTS
     });
     assert!(began.elapsed() < Duration::from_secs(2), "{:?}", began.elapsed());
 }
 
+/// Guards against queued requests that are sent though their clients have disconnected.
 #[test]
 fn held_requests_of_clients_that_left_are_never_sent() {
-    for stopping in [false, true] {
-        let (backend, discovery) = (Backend::start(|_| ok("x")), Discovery::start());
-        let config = config(discovery.address, &[line("a", backend.address, "draining", 0)]);
-        let proxy = Proxy::spawn(&config);
-        let clients = waiting(&proxy, "read", "request received ");
+    for is_shutting_down in [false, true] {
+        let (backend, discovery) = (Backend::start(|_| ok_response("x")), Discovery::start());
+        let config = config(discovery.address, &[endpoint("a", backend.address, "draining", 0)]);
+        let proxy = ProxyProcess::spawn(&config);
+        let clients = open_clients(&proxy, "read", "request received ");
         // One stays: its request is sent once there is a backend for it.
-        let mut stays = Client::open(proxy.address);
-        stays.send(&request("read", 60_000));
-        until("it waits", || proxy.log().matches("request received ").count() == LEAVERS + 1);
-        if stopping {
+        let mut staying_client = Client::open(proxy.address);
+        staying_client.send(&request("read", 60_000));
+        wait_until("its request is queued", || proxy.count_in_log("request received ") == CLIENTS + 1);
+        if is_shutting_down {
             proxy.terminate();
         }
-        leave(&proxy, clients);
-        discovery.tell(false, &[line("a", backend.address, "ready", 0)]);
-        assert_eq!(stays.answer().map(|a| a.status()), Some(200), "stopping: {stopping}");
-        assert_eq!(backend.requests().len(), 1, "stopping: {stopping}");
+        disconnect(&proxy, clients);
+        discovery.publish_delta(&[endpoint("a", backend.address, "ready", 0)]);
+        assert_eq!(
+            staying_client.read_response().map(|a| a.status()),
+            Some(200),
+            "shutting down: {is_shutting_down}"
+        );
+        assert_eq!(backend.requests().len(), 1, "shutting down: {is_shutting_down}");
     }
 }
 
+/// Guards against retries that are written once their connections come up, though their clients have disconnected.
 #[test]
 fn further_attempts_of_clients_that_left_while_they_dial_are_never_written() {
-    for (stopping, cancel) in [(false, true), (false, false), (true, true), (true, false)] {
-        let full = || Reply::Say("HTTP/1.1 503 x\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n".into());
-        let busy = Backend::start(move |m| if m.start.contains("/pay/") { full() } else { ok("x") });
-        let (late, discovery) = (Late::start(), Discovery::start());
-        let config = patient(&discovery, &[line("a", busy.address, "ready", 0)]);
-        let mut proxy = Proxy::start(&changed(&config, "/settings/limits/cancel", json!(cancel)));
-        // A fifth of the requests may be sent again: enough of them come first.
-        (0..2 * LEAVERS).for_each(|_| assert_eq!(ask(&proxy, &request("read", 7000)).status(), 200));
-        discovery.tell(false, &[line("b", late.address, "ready", 0)]);
+    for (is_shutting_down, can_cancel) in [(false, true), (false, false), (true, true), (true, false)] {
+        let unprocessed =
+            || Reply::Send("HTTP/1.1 503 x\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n".into());
+        let rejecting_backend = Backend::start(move |message| {
+            if message.start_line.contains("/pay/") {
+                unprocessed()
+            } else {
+                ok_response("x")
+            }
+        });
+        let (slow_backend, discovery) = (SlowAcceptBackend::start(), Discovery::start());
+        let config = config_with_long_connect_timeout(
+            &discovery,
+            &[endpoint("a", rejecting_backend.address, "ready", 0)],
+        );
+        let mut proxy =
+            ProxyProcess::start(&with_value(&config, "/settings/limits/cancel", json!(can_cancel)));
+        // The retry budget is a fifth of the requests: enough of them come first.
+        (0..2 * CLIENTS).for_each(|_| assert_eq!(send_request(&proxy, &request("read", 7000)).status(), 200));
+        discovery.publish_delta(&[endpoint("b", slow_backend.address, "ready", 0)]);
         let mut clients = Vec::new();
-        for _ in 0..LEAVERS {
+        for _ in 0..CLIENTS {
             let mut client = Client::open(proxy.address);
             client.send(&request("pay", 60_000));
             clients.push(client);
         }
-        let late_address = format!("address={}", late.address);
-        let is_dispatch = |l: &&str| l.contains("attempt dispatched ") && l.contains(&late_address);
-        until("all have come", || proxy.log().matches("request received ").count() == 3 * LEAVERS);
-        until("many dial", || proxy.log().lines().filter(is_dispatch).count() >= 2);
-        if stopping {
+        let slow_address = format!("address={}", slow_backend.address);
+        let is_dispatch = |line: &&str| line.contains("attempt dispatched ") && line.contains(&slow_address);
+        wait_until("all have come", || proxy.count_in_log("request received ") == 3 * CLIENTS);
+        wait_until("many connect", || proxy.log().lines().filter(is_dispatch).count() >= 2);
+        if is_shutting_down {
             proxy.terminate();
         }
         drop(clients);
-        until("the end of all", || {
-            proxy.log().matches("request ended outcome=client_disconnected ").count() + refused(&proxy)
-                >= LEAVERS
+        wait_until("the end of all", || {
+            proxy.count_in_log("request ended outcome=client_disconnected ") + answered_count(&proxy)
+                >= CLIENTS
         });
-        let bytes = late.accept();
-        if stopping {
-            assert!(proxy.exit().success());
+        let bytes = slow_backend.accept();
+        if is_shutting_down {
+            assert!(proxy.wait_for_exit().success());
         } else {
-            let lines = |text: &str| proxy.log().matches(text).count();
-            until("the end of all attempts", || lines("attempt ended ") >= lines("attempt dispatched "));
+            let is_ended =
+                || proxy.count_in_log("attempt ended ") >= proxy.count_in_log("attempt dispatched ");
+            wait_until("the end of all attempts", is_ended);
         }
-        assert_eq!(bytes(), 0, "stopping: {stopping}, cancel: {cancel}");
+        assert_eq!(bytes(), 0, "shutting down: {is_shutting_down}, cancel: {can_cancel}");
     }
 }
 
-/// Requests that had their final answer before their clients left.
-fn refused(proxy: &Proxy) -> usize {
-    let log = proxy.log();
-    log.matches("request ended outcome=rejected ").count()
-        + log.matches("request ended outcome=failed ").count()
+/// Requests that had their final answer before their clients disconnected.
+fn answered_count(proxy: &ProxyProcess) -> usize {
+    proxy.count_in_log("request ended outcome=rejected ")
+        + proxy.count_in_log("request ended outcome=failed ")
 }
--- a/tests/proxy/configuration.rs
+++ b/tests/proxy/configuration.rs
@@ -1,12 +1,13 @@
 //! Configurations at the start: those that are served and those that are rejected.
 
 use crate::support::{
-    ask, changed, config, line, ok, refusing_address, request, until, Backend, Discovery, Proxy,
+    config, endpoint, ok_response, refusing_address, request, send_request, wait_until, with_value, Backend,
+    Discovery, ProxyProcess,
 };
 use serde_json::{json, Value};
 use std::net::TcpListener;
 
-/// Settings of another customer: what a site may lack, set to nothing or at its limit, is served like any other.
+/// Guards against settings that are valid, absent or at their limit, and keep the proxy from serving.
 #[test]
 fn settings_at_their_limits_start_and_serve() {
     let cases = [
@@ -26,49 +27,73 @@
         ("/settings/rules/stop_sending_within_us", json!(u64::MAX)),
         ("/limits/sockets", json!(u32::MAX)),
     ];
-    let (discovery, backend) = (Discovery::start(), Backend::start(|_| ok("x")));
-    let good = config(discovery.address, &[line("a", backend.address, "ready", 0)]);
+    let (discovery, backend) = (Discovery::start(), Backend::start(|_| ok_response("x")));
+    let valid = config(discovery.address, &[endpoint("a", backend.address, "ready", 0)]);
     for (pointer, value) in cases {
-        let proxy = Proxy::start(&changed(&good, pointer, value.clone()));
+        let proxy = ProxyProcess::start(&with_value(&valid, pointer, value.clone()));
         for class in ["read", "vote", "pay"] {
-            let status = ask(&proxy, &request(class, 7000)).status();
+            let status = send_request(&proxy, &request(class, 7000)).status();
             assert_eq!(status, 200, "{class} with {pointer} {value}: {}", proxy.log());
         }
     }
 }
 
+/// A value that is rejected at one place of a configuration, and what its message contains.
+struct InvalidValue {
+    pointer: &'static str,
+    value: Value,
+    message: &'static str,
+}
+
+fn invalid(pointer: &'static str, value: Value, message: &'static str) -> InvalidValue {
+    InvalidValue { pointer, value, message }
+}
+
+fn invalid_values() -> Vec<InvalidValue> {
+    vec![
+        invalid("/listen", json!("nowhere"), "listen: expected an IP address and a port"),
+        invalid("/discovery", json!(5), "discovery: expected text"),
+        invalid("/seed", json!("xyz"), "seed: expected up to 16 hex digits"),
+        invalid("/limits/sockets", json!(3), "limits.sockets: expected at least 64"),
+        invalid("/known/endpoints", json!([{}]), "known.endpoints[0].status: missing"),
+        invalid("/settings/granularity_us", json!(0), "settings.granularity_us: expected a time above 0"),
+        invalid(
+            "/settings/limits/max_attempts",
+            json!(0),
+            "settings.limits.max_attempts: expected at least 1",
+        ),
+        invalid("/settings/profiles", json!([]), "settings.profiles: expected at least one class"),
+        invalid("/settings/profiles/0/gain", json!(0), "settings.profiles[].gain: expected a finite number"),
+        invalid("/settings/profiles/1/window_us", json!(null), "profiles[1].window_us: expected whole micro"),
+        invalid("/settings/customers", json!([{"name": "a"}]), "settings.customers[0].quota_rps: missing"),
+        invalid(
+            "/settings/granularity_us",
+            json!(-1),
+            "settings.granularity_us: expected whole microseconds",
+        ),
+        invalid("/settings/limits/dial_timeout_us", json!(null), "settings.limits.dial_timeout_us"),
+        invalid("/settings/group_size", json!(0), "settings.group_size: expected at least 1"),
+        invalid("/settings/position", json!(1), "settings.position: expected less than proxies"),
+        invalid("/settings/my_zone", json!("north"), "settings.my_zone: expected one of zones"),
+        invalid("/settings/profiles/0/aim_us", json!(9_000_000), "aim_us: expected no more than deadline_us"),
+        invalid("/settings/profiles/1/name", json!("read"), "the name stands twice"),
+        invalid("/settings/profiles/2/effect", json!("none"), "expected free, guarded or single_shot"),
+        invalid("/settings/discovery", json!("never"), "settings.discovery: expected automatic or subscribe"),
+    ]
+}
+
+/// Guards against a configuration error that is logged without its key, or in many lines.
 #[test]
 fn a_bad_configuration_is_one_line_that_names_the_key() {
-    let good = config(refusing_address(), &[]);
-    let taken = TcpListener::bind("127.0.0.1:0").unwrap();
-    let bad = |pointer: &str, value: Value| changed(&good, pointer, value);
-    let cases = [
-        (bad("/listen", json!("nowhere")), "listen: expected an IP address and a port"),
-        (bad("/discovery", json!(5)), "discovery: expected text"),
-        (bad("/seed", json!("xyz")), "seed: expected up to 16 hex digits"),
-        (bad("/limits/sockets", json!(3)), "limits.sockets: expected at least 64"),
-        (bad("/known/endpoints", json!([{}])), "known.endpoints[0].status: missing"),
-        (bad("/settings/granularity_us", json!(0)), "settings.granularity_us: expected a time above 0"),
-        (bad("/settings/limits/max_attempts", json!(0)), "settings.limits.max_attempts: expected at least 1"),
-        (bad("/settings/profiles", json!([])), "settings.profiles: expected at least one class"),
-        (bad("/settings/profiles/0/gain", json!(0)), "settings.profiles[].gain: expected a finite number"),
-        (bad("/settings/profiles/1/window_us", json!(null)), "profiles[1].window_us: expected whole micro"),
-        (bad("/settings/customers", json!([{"name": "a"}])), "settings.customers[0].quota_rps: missing"),
-        (bad("/settings/granularity_us", json!(-1)), "settings.granularity_us: expected whole microseconds"),
-        (bad("/settings/limits/dial_timeout_us", json!(null)), "settings.limits.dial_timeout_us"),
-        (bad("/settings/group_size", json!(0)), "settings.group_size: expected at least 1"),
-        (bad("/settings/position", json!(1)), "settings.position: expected less than proxies"),
-        (bad("/settings/my_zone", json!("north")), "settings.my_zone: expected one of zones"),
-        (bad("/settings/profiles/0/aim_us", json!(9_000_000)), "aim_us: expected no more than deadline_us"),
-        (bad("/settings/profiles/1/name", json!("read")), "the name stands twice"),
-        (bad("/settings/profiles/2/effect", json!("none")), "expected free, guarded or single_shot"),
-        (bad("/settings/discovery", json!("never")), "settings.discovery: expected automatic or subscribe"),
-        (bad("/listen", json!(taken.local_addr().unwrap().to_string())), "listen: expected a free address"),
-    ];
-    for (config, message) in cases {
-        let mut proxy = Proxy::launch(&config, "unlimited");
-        assert!(!proxy.exit().success());
-        until("its message", || proxy.log().contains(message));
+    let valid = config(refusing_address(), &[]);
+    let used_port = TcpListener::bind("127.0.0.1:0").unwrap();
+    let used_address = json!(used_port.local_addr().unwrap().to_string());
+    let mut cases = invalid_values();
+    cases.push(invalid("/listen", used_address, "listen: expected a free address"));
+    for InvalidValue { pointer, value, message } in cases {
+        let mut proxy = ProxyProcess::launch(&with_value(&valid, pointer, value));
+        assert!(!proxy.wait_for_exit().success());
+        wait_until("its message", || proxy.log().contains(message));
         assert_eq!(proxy.log().lines().count(), 1, "{}", proxy.log());
     }
 }
--- a/tests/proxy/discovery_recovery.rs
+++ b/tests/proxy/discovery_recovery.rs
@@ -1,7 +1,8 @@
-//! Discovery that is away and comes back: how soon the built proxy holds what it has to tell.
+//! Discovery that fails and recovers: how soon the proxy holds the list that it has then.
 
 use crate::support::{
-    changed, config, line, ok, read_message, refusing_address, until, HeldPort, Proxy, Reply, LONG,
+    config, endpoint, ok_response, read_message, refusing_address, wait_until, with_value, ProxyProcess,
+    Reply, ReservedPort, FAILURE_TIMEOUT,
 };
 use serde_json::{json, Value};
 use std::io::{BufReader, Write};
@@ -10,185 +11,210 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Whatever became of a call, a change counts as told so long after discovery had it and could be reached.
-const TOLD_WITHIN: Duration = Duration::from_secs(6);
+/// Whatever became of a call, a change counts as notified so long after discovery could be reached.
+const NOTIFIED_WITHIN: Duration = Duration::from_secs(6);
 
-/// What a service that is away does with a call.
+/// What a service that has failed does with a call.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
-    /// Ends it with 503.
-    Busy,
+    /// Answers 503.
+    Unavailable,
     /// Resets it.
     Reset,
-    /// Takes it and never answers.
-    Silent,
+    /// Accepts it and never answers.
+    Unresponsive,
     /// Refuses the connection.
-    Down,
+    ConnectionRefused,
     /// Lets no connection come up.
-    Cut,
+    ConnectTimeout,
 }
 
-/// A service that is away at first and then back for good, with a list that names one backend.
-struct Service {
+/// A service that fails at first and then works for good, with a list of one backend.
+struct FailingService {
     address: SocketAddr,
-    back: Arc<AtomicBool>,
-    /// What keeps the queue of connections full.
+    has_recovered: Arc<AtomicBool>,
+    /// They keep the queue of connections full.
     _queued: Vec<TcpStream>,
 }
 
-/// Answers or spoils every call on a connection.
-fn converse(mut stream: TcpStream, fault: Fault, back: &AtomicBool) {
+/// Answers every call on a connection, or fails it as long as the service has not recovered.
+fn serve_connection(mut stream: TcpStream, fault: Fault, has_recovered: &AtomicBool) {
     let Ok(read) = stream.try_clone() else { return };
     let mut reader = BufReader::new(read);
     while read_message(&mut reader).is_some() {
-        let list =
-            json!({"index": 7, "snapshot": true, "endpoints": [line("a", refusing_address(), "ready", 0)]});
-        let Reply::Say(answer) = ok(&list.to_string()) else { return };
+        let ready = endpoint("a", refusing_address(), "ready", 0);
+        let list = json!({"index": 7, "snapshot": true, "endpoints": [ready]});
+        let Reply::Send(response) = ok_response(&list.to_string()) else { return };
         let _ = match fault {
-            _ if back.load(Ordering::SeqCst) => stream.write_all(answer.as_bytes()),
-            Fault::Busy => stream.write_all(b"HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n"),
-            Fault::Silent => Ok(()),
+            _ if has_recovered.load(Ordering::SeqCst) => stream.write_all(response.as_bytes()),
+            Fault::Unavailable => stream.write_all(b"HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n"),
+            Fault::Unresponsive => Ok(()),
             _ => return,
         };
     }
 }
 
-impl Service {
-    fn away(fault: Fault) -> Service {
-        let port = HeldPort::bind();
+impl FailingService {
+    fn start(fault: Fault) -> FailingService {
+        let port = ReservedPort::bind();
         let address = port.address;
-        // Down, it refuses connections, and nobody else is given its port meanwhile.
-        let listen = |port: HeldPort| if fault == Fault::Down { Err(port) } else { Ok(port.listen()) };
-        let held = listen(port);
-        let back = Arc::new(AtomicBool::new(false));
-        let full = Duration::from_millis(300);
-        let connect = || TcpStream::connect_timeout(&address, full).ok();
-        let queued = if fault == Fault::Cut { std::iter::from_fn(connect).collect() } else { Vec::new() };
-        let returned = back.clone();
+        // While it refuses connections nobody else is given its port.
+        let listener = if fault == Fault::ConnectionRefused { Err(port) } else { Ok(port.listen()) };
+        let has_recovered = Arc::new(AtomicBool::new(false));
+        let connect_timeout = Duration::from_millis(300);
+        let connect = || TcpStream::connect_timeout(&address, connect_timeout).ok();
+        let queued =
+            if fault == Fault::ConnectTimeout { std::iter::from_fn(connect).collect() } else { Vec::new() };
+        let recovered = has_recovered.clone();
         std::thread::spawn(move || {
-            if matches!(fault, Fault::Down | Fault::Cut) {
-                until("its return", || returned.load(Ordering::SeqCst));
+            if matches!(fault, Fault::ConnectionRefused | Fault::ConnectTimeout) {
+                wait_until("its recovery", || recovered.load(Ordering::SeqCst));
             }
-            let listener = held.unwrap_or_else(HeldPort::listen);
+            let listener = listener.unwrap_or_else(ReservedPort::listen);
             for stream in listener.incoming().map_while(Result::ok) {
-                let back = returned.clone();
-                std::thread::spawn(move || converse(stream, fault, &back));
+                let recovered = recovered.clone();
+                std::thread::spawn(move || serve_connection(stream, fault, &recovered));
             }
         });
-        Service { address, back, _queued: queued }
+        FailingService { address, has_recovered, _queued: queued }
     }
 }
 
-/// How long after the return of its service a proxy holds the list that it had not.
-fn told_after(fault: Fault, mode: &str, position: u32, known: bool) -> Duration {
-    let service = Service::away(fault);
-    let mut config = config(service.address, &[line("a", refusing_address(), "draining", 0)]);
-    config["settings"]["discovery"] = json!(mode);
+/// How a proxy watches the list, and whether it starts with a cached one.
+#[derive(Clone, Copy, Debug)]
+struct ProxyCase {
+    mode: &'static str,
+    proxy_index: u32,
+    has_cached_list: bool,
+}
+
+/// How long after the recovery of its service a proxy holds the list that it had not.
+fn notified_after(fault: Fault, case: ProxyCase) -> Duration {
+    let service = FailingService::start(fault);
+    let mut config = config(service.address, &[endpoint("a", refusing_address(), "draining", 0)]);
+    config["settings"]["discovery"] = json!(case.mode);
     config["settings"]["group_size"] = json!(470);
-    config["settings"]["position"] = json!(position);
+    config["settings"]["position"] = json!(case.proxy_index);
     config["settings"]["limits"]["dial_timeout_us"] = json!(100_000);
-    let config = if known { config } else { changed(&config, "/known", Value::Null) };
-    let proxy = Proxy::spawn(&config);
+    let config = if case.has_cached_list { config } else { with_value(&config, "/known", Value::Null) };
+    let proxy = ProxyProcess::spawn(&config);
     std::thread::sleep(Duration::from_secs(4));
-    assert_eq!(proxy.ready(), 503);
-    service.back.store(true, Ordering::SeqCst);
+    assert_eq!(proxy.readiness_status(), 503);
+    service.has_recovered.store(true, Ordering::SeqCst);
     let began = Instant::now();
-    until("the list", || proxy.log().contains("endpoint list received version=7 entries=1"));
+    wait_until("the list", || proxy.log().contains("endpoint list received version=7 entries=1"));
     began.elapsed()
 }
 
-/// A proxy without a list from before never asked for one; a swallowed watch was missed after 21.5 s.
+/// Guards against a proxy that never calls without a cached list, or waits 21.5 s for a watch that is lost.
 #[test]
 fn whatever_became_of_its_calls_a_proxy_holds_the_list_within_6_s_of_the_return() {
-    let faults = [Fault::Busy, Fault::Reset, Fault::Silent, Fault::Down, Fault::Cut];
-    let places = [("subscribe", 0), ("subscribe", 469), ("automatic", 0)];
-    let cases = faults.iter().flat_map(|fault| places.iter().map(move |place| (*fault, *place)));
-    let cases =
-        cases.flat_map(|(fault, (mode, position))| [true, false].map(|known| (fault, mode, position, known)));
-    let plays: Vec<_> = cases
-        .map(|(fault, mode, position, known)| {
-            let play = std::thread::spawn(move || told_after(fault, mode, position, known));
-            (play, format!("{fault:?}, {mode}, position {position}, known: {known}"))
-        })
+    let faults = [
+        Fault::Unavailable,
+        Fault::Reset,
+        Fault::Unresponsive,
+        Fault::ConnectionRefused,
+        Fault::ConnectTimeout,
+    ];
+    let watches = [("subscribe", 0), ("subscribe", 469), ("automatic", 0)];
+    let case_of = |(mode, proxy_index), has_cached_list| ProxyCase { mode, proxy_index, has_cached_list };
+    let cases: Vec<ProxyCase> =
+        watches.into_iter().flat_map(|watch| [true, false].map(|cached| case_of(watch, cached))).collect();
+    let combinations = faults.iter().flat_map(|fault| cases.iter().map(move |case| (*fault, *case)));
+    let runs: Vec<_> = combinations
+        .map(|(fault, case)| (std::thread::spawn(move || notified_after(fault, case)), (fault, case)))
         .collect();
-    // All plays end, and with them their proxies, before any is judged.
-    let told: Vec<_> = plays.into_iter().map(|(play, name)| (play.join(), name)).collect();
-    let late: Vec<_> =
-        told.iter().filter(|(after, _)| !matches!(after, Ok(t) if *t <= TOLD_WITHIN)).collect();
+    // All runs end, and with them their proxies, before any is judged.
+    let notified: Vec<_> = runs.into_iter().map(|(run, name)| (run.join(), name)).collect();
+    let is_late = |after: &std::thread::Result<Duration>| !matches!(after, Ok(t) if *t <= NOTIFIED_WITHIN);
+    let late: Vec<_> = notified.iter().filter(|(after, _)| is_late(after)).collect();
     assert!(late.is_empty(), "{late:?}");
 }
 
-/// A service with too many callers: it handles calls one after another, each for this long, and turns away those that
-/// find so many in its queue.
-const HANDLING: Duration = Duration::from_millis(60);
-
-const QUEUE: usize = 8;
+/// The time that an overloaded service takes for one call.
+const CALL_DURATION: Duration = Duration::from_millis(60);
+/// An overloaded service rejects a call that finds so many before it.
+const QUEUE_CAPACITY: usize = 8;
 
-struct Overbooked {
+/// A service with too many callers, which handles calls one after another.
+struct OverloadedService {
     address: SocketAddr,
-    refused: Arc<AtomicUsize>,
+    load: Arc<Load>,
 }
 
-impl Overbooked {
-    fn start(list: String) -> Overbooked {
+/// The calls of an overloaded service.
+#[derive(Default)]
+struct Load {
+    /// Held while a call is handled.
+    in_progress: Mutex<()>,
+    queued: AtomicUsize,
+    rejected: AtomicUsize,
+}
+
+impl OverloadedService {
+    fn start(list: String) -> OverloadedService {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
-        let (queue, refused) =
-            (Arc::new((Mutex::new(()), AtomicUsize::new(0))), Arc::<AtomicUsize>::default());
-        let counted = refused.clone();
+        let load = Arc::<Load>::default();
+        let shared = load.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
-                let (queue, refused, list) = (queue.clone(), counted.clone(), list.clone());
-                std::thread::spawn(move || Overbooked::converse(stream, &queue, &refused, &list));
+                let (load, list) = (shared.clone(), list.clone());
+                std::thread::spawn(move || OverloadedService::serve_connection(stream, &load, &list));
             }
         });
-        Overbooked { address, refused }
+        OverloadedService { address, load }
     }
 
-    fn converse(mut stream: TcpStream, queue: &(Mutex<()>, AtomicUsize), refused: &AtomicUsize, list: &str) {
+    fn serve_connection(mut stream: TcpStream, load: &Load, list: &str) {
         let Ok(read) = stream.try_clone() else { return };
         let mut reader = BufReader::new(read);
         while let Some(call) = read_message(&mut reader) {
-            if call.start.contains("after=7&") {
-                std::thread::park_timeout(LONG); // a watch on the list that never changes again
+            if call.start_line.contains("after=7&") {
+                std::thread::park_timeout(FAILURE_TIMEOUT); // a watch on the list that never changes again
                 return;
             }
-            let answer = if queue.1.fetch_add(1, Ordering::SeqCst) < QUEUE {
-                let turn = queue.0.lock();
-                std::thread::sleep(HANDLING);
+            let response = if load.queued.fetch_add(1, Ordering::SeqCst) < QUEUE_CAPACITY {
+                let turn = load.in_progress.lock();
+                std::thread::sleep(CALL_DURATION);
                 drop(turn);
                 format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}", list.len())
             } else {
-                refused.fetch_add(1, Ordering::SeqCst);
+                load.rejected.fetch_add(1, Ordering::SeqCst);
                 "HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n".into()
             };
-            queue.1.fetch_sub(1, Ordering::SeqCst);
-            if stream.write_all(answer.as_bytes()).is_err() {
+            load.queued.fetch_sub(1, Ordering::SeqCst);
+            if stream.write_all(response.as_bytes()).is_err() {
                 return;
             }
         }
     }
 }
 
-/// Seven in ten of a fleet come up at one moment, with a stale list or with none, before a service that turns most of
-/// their calls away: nine in ten of them are ready within 10 s.
+/// Guards against a herd of starting proxies whose calls, rejected by an overloaded service, come too late again.
 #[test]
 fn nine_in_ten_of_those_that_start_together_are_ready_within_10_s() {
     const STARTED: u32 = 40;
-    let ready = line("b", refusing_address(), "ready", 0);
-    let service = Overbooked::start(json!({"index": 7, "snapshot": true, "endpoints": [ready]}).to_string());
-    let start = |n: u32| {
-        let stale = [line("a", refusing_address(), "draining", 0)];
+    let ready = endpoint("b", refusing_address(), "ready", 0);
+    let service =
+        OverloadedService::start(json!({"index": 7, "snapshot": true, "endpoints": [ready]}).to_string());
+    let start = |proxy_index: u32| {
+        let stale = [endpoint("a", refusing_address(), "draining", 0)];
         let mut config = config(service.address, &stale);
         config["settings"]["discovery"] = json!("subscribe");
         config["settings"]["group_size"] = json!(57);
-        config["settings"]["position"] = json!(n);
-        Proxy::launch(&if n % 2 == 0 { config } else { changed(&config, "/known", Value::Null) }, "unlimited")
+        config["settings"]["position"] = json!(proxy_index);
+        ProxyProcess::launch(&if proxy_index % 2 == 0 {
+            config
+        } else {
+            with_value(&config, "/known", Value::Null)
+        })
     };
     let began = Instant::now();
-    let proxies: Vec<Proxy> = (0..STARTED).map(start).collect();
-    let told = |p: &&Proxy| p.log().contains("endpoint list received version=7 entries=1");
-    until("nine in ten", || proxies.iter().filter(told).count() as u32 * 10 >= STARTED * 9);
+    let proxies: Vec<ProxyProcess> = (0..STARTED).map(start).collect();
+    let is_notified =
+        |proxy: &&ProxyProcess| proxy.log().contains("endpoint list received version=7 entries=1");
+    wait_until("nine in ten", || proxies.iter().filter(is_notified).count() as u32 * 10 >= STARTED * 9);
     assert!(began.elapsed() < Duration::from_secs(10), "{:?}", began.elapsed());
-    assert!(service.refused.load(Ordering::SeqCst) > 0, "the service had too many callers");
+    assert!(service.load.rejected.load(Ordering::SeqCst) > 0, "the service had too many callers");
 }
--- a/tests/proxy/idle_clients.rs
+++ b/tests/proxy/idle_clients.rs
@@ -1,7 +1,8 @@
-//! Idle clients that fill the descriptors, new ones coming all the time.
+//! Idle clients that take every connection slot, new ones coming all the time.
 
 use crate::support::{
-    ask, config, line, ok, refusing_address, request, until, Backend, Client, Discovery, HeldPort, Proxy,
+    config, endpoint, ok_response, refusing_address, request, send_request, wait_until, Backend, Client,
+    Discovery, ProxyProcess, ReservedPort,
 };
 use serde_json::json;
 use std::net::SocketAddr;
@@ -10,54 +11,57 @@
 use std::time::{Duration, Instant};
 
 /// Clients that connect all the time, send nothing and stay until the proxy ends them.
-struct Crowd {
+struct IdleClients {
     stop: Arc<AtomicBool>,
-    coming: Option<std::thread::JoinHandle<()>>,
+    connecting: Option<std::thread::JoinHandle<()>>,
 }
 
-impl Crowd {
-    /// So many a second.
-    fn start(to: SocketAddr, per_s: u32) -> Crowd {
+impl IdleClients {
+    /// Connects so many a second.
+    fn start(address: SocketAddr, clients_per_second: u32) -> IdleClients {
         let stop = Arc::new(AtomicBool::new(false));
-        let stopped = stop.clone();
-        let coming = std::thread::spawn(move || {
-            let mut staying = Vec::new();
-            while !stopped.load(Ordering::SeqCst) {
-                staying.extend(Client::try_open(to));
-                std::thread::sleep(Duration::from_secs(1) / per_s);
+        let is_stopped = stop.clone();
+        let connecting = std::thread::spawn(move || {
+            let mut clients = Vec::new();
+            while !is_stopped.load(Ordering::SeqCst) {
+                clients.extend(Client::try_open(address));
+                std::thread::sleep(Duration::from_secs(1) / clients_per_second);
             }
         });
-        Crowd { stop, coming: Some(coming) }
+        IdleClients { stop, connecting: Some(connecting) }
     }
 }
 
-impl Drop for Crowd {
+impl Drop for IdleClients {
     fn drop(&mut self) {
         self.stop.store(true, Ordering::SeqCst);
-        self.coming.take().map(std::thread::JoinHandle::join);
+        if let Some(connecting) = self.connecting.take() {
+            let _ = connecting.join();
+        }
     }
 }
 
-/// On the return of discovery the call goes out, the backend that it names is dialled, and clients with requests get
-/// in. Silent ones were let go only after the 2 s for a head, so that their queue grew for ever.
+/// Guards against idle clients that keep out calls of discovery, connections to backends, and requests.
 #[test]
 fn a_crowd_of_idle_clients_keeps_out_neither_news_nor_backends_nor_requests() {
-    let backend = Backend::start(|_| ok("x"));
+    let backend = Backend::start(|_| ok_response("x"));
     let address = refusing_address();
-    let down = HeldPort::bind();
-    let mut config = config(down.address, &[line("a", address, "ready", 0)]);
+    let reserved_port = ReservedPort::bind();
+    let mut config = config(reserved_port.address, &[endpoint("a", address, "ready", 0)]);
     config["limits"]["sockets"] = json!(64);
-    let proxy = Proxy::start(&config);
-    let _crowd = Crowd::start(proxy.address, 25);
-    until("all places are taken", || proxy.ready() == 200 && proxy.log().contains("discovery call failed "));
+    let proxy = ProxyProcess::start(&config);
+    let _idle_clients = IdleClients::start(proxy.address, 25);
+    wait_until("all slots are taken", || {
+        proxy.readiness_status() == 200 && proxy.log().contains("discovery call failed ")
+    });
     std::thread::sleep(Duration::from_secs(3));
-    let discovery = Discovery::start_on(down);
-    discovery.tell(true, &[line("b", backend.address, "ready", 0)]);
+    let discovery = Discovery::start_on(reserved_port);
+    discovery.publish_snapshot(&[endpoint("b", backend.address, "ready", 0)]);
     let began = Instant::now();
-    for n in 0..20 {
-        assert_eq!(ask(&proxy, &request("read", 7000)).status(), 200, "request {n}");
+    for number in 0..20 {
+        assert_eq!(send_request(&proxy, &request("read", 7000)).status(), 200, "request {number}");
     }
-    // Twenty requests waited for a place of sixteen, each taken for two seconds, behind 25 new clients a second.
+    // Sixteen slots, each freed within two seconds, and 25 new clients a second.
     assert!(began.elapsed() < Duration::from_secs(20), "{:?}", began.elapsed());
     assert!(!proxy.log().contains("accept failed "), "descriptors were left");
 }
--- a/tests/proxy/logging.rs
+++ b/tests/proxy/logging.rs
@@ -1,37 +1,46 @@
-//! The log of the requests.
+//! The log of requests and their attempts.
 
-use crate::support::{ask, ok, proxy_for, request, until, Backend, Client, Reply};
+use crate::support::{
+    ok_response, proxy_for, request, send_request, wait_until, Backend, Client, Message, Reply,
+};
 
-/// The log of one request, by the id that its client gave it: as it came, each attempt, its end.
+/// Guards against requests whose arrival, attempts or end cannot be found by the id that their client gave.
 #[test]
 fn a_request_can_be_followed_through_the_log_by_its_correlation_id() {
-    let backend = Backend::start(|m| if m.start.contains("/pay/") { Reply::Silence } else { ok("x") });
+    let respond = |message: &Message| match message.start_line.contains("/pay/") {
+        true => Reply::NoResponse,
+        false => ok_response("x"),
+    };
+    let backend = Backend::start(respond);
     let (proxy, _discovery) = proxy_for(&[("a", &backend)]);
-    let as_client = |class: &str, left_ms: u64, id: &str| {
-        let text = request(class, left_ms).replace("9b1f03aa5c7e2d41", id);
-        ask(&proxy, &text).status()
+    let status_of = |class: &str, time_left_ms: u64, id: &str| {
+        let text = request(class, time_left_ms).replace("9b1f03aa5c7e2d41", id);
+        send_request(&proxy, &text).status()
     };
     let lines = |id: &str| -> Vec<String> {
         let field = format!(" correlation_id={id} ");
-        proxy.log().lines().filter(|l| l.contains(&field)).map(str::to_string).collect()
+        proxy.log().lines().filter(|line| line.contains(&field)).map(str::to_string).collect()
     };
-    let to = format!("address={}", backend.address);
-    // Before the time-out, for which the module may leave the only backend out for a while.
-    let mut leaver = Client::open(proxy.address);
-    leaver.send(&request("pay", 7000).replace("9b1f03aa5c7e2d41", "33cc"));
-    until("the attempt", || lines("33cc").len() == 2);
-    drop(leaver);
-    until("its end", || {
-        lines("33cc").iter().any(|l| l.contains("request ended outcome=client_disconnected "))
+    let address_field = format!("address={}", backend.address);
+    // Before the time-out, for which the balancer may eject the only backend for a while.
+    let mut disconnecting_client = Client::open(proxy.address);
+    disconnecting_client.send(&request("pay", 7000).replace("9b1f03aa5c7e2d41", "33cc"));
+    wait_until("the attempt", || lines("33cc").len() == 2);
+    drop(disconnecting_client);
+    wait_until("its end", || {
+        lines("33cc").iter().any(|line| line.contains("request ended outcome=client_disconnected "))
     });
-    // More than a quarter of the aim: with less the module may give up a class of which it knows no answer.
+    // More than a quarter of the objective: with less a class without any answer yet may be given up.
     let cases = [("read", 7000, 200, "11aa", "served"), ("pay", 2000, 502, "22bb", "failed")];
-    for (class, left_ms, status, id, end) in cases {
-        assert_eq!(as_client(class, left_ms, id), status, "{class}");
-        let end = format!("request ended outcome={end} ");
-        let parts = ["request received ", &to, "attempt ended attempt=0 ", &end];
-        until("its last line", || lines(id).len() == parts.len());
-        let told = lines(id);
-        assert!(parts.iter().all(|part| told.iter().any(|line| line.contains(part))), "{class}: {told:?}");
+    for (class, time_left_ms, status, id, outcome) in cases {
+        assert_eq!(status_of(class, time_left_ms, id), status, "{class}");
+        let end = format!("request ended outcome={outcome} ");
+        let parts = ["request received ", &address_field, "attempt ended attempt=0 ", &end];
+        wait_until("its last line", || lines(id).len() == parts.len());
+        let logged = lines(id);
+        assert!(
+            parts.iter().all(|part| logged.iter().any(|line| line.contains(part))),
+            "{class}: {logged:?}"
+        );
     }
 }
--- a/tests/proxy/reload/discovery_address.rs
+++ b/tests/proxy/reload/discovery_address.rs
@@ -1,69 +1,71 @@
 //! SIGHUP moves the proxy to another discovery.
 
-use crate::support::{ask, changed, config, line, ok, request, until, Backend, Discovery, Proxy};
+use crate::support::{
+    config, endpoint, ok_response, request, send_request, wait_until, with_value, Backend, Discovery,
+    ProxyProcess,
+};
 use serde_json::{json, Value};
 use std::time::{Duration, Instant};
 
-/// SIGHUP moves the watch to another discovery, which need not know the versions of the first; a file that
-/// cannot be used is logged and changes nothing. Both where lists are pushed and where they are asked for.
+/// Guards against a watch that stays at the old address, or is moved by a file that cannot be used.
 #[test]
 fn sighup_moves_discovery_and_a_bad_file_changes_nothing() {
     for mode in ["automatic", "subscribe"] {
-        let (a, b) = (Backend::start(|_| ok("a")), Backend::start(|_| ok("b")));
+        let (backend_a, backend_b) =
+            (Backend::start(|_| ok_response("a")), Backend::start(|_| ok_response("b")));
         let (old, new) = (Discovery::start(), Discovery::start());
-        let mut config = config(old.address, &[line("a", a.address, "ready", 0)]);
+        let mut config = config(old.address, &[endpoint("a", backend_a.address, "ready", 0)]);
         config["settings"]["discovery"] = json!(mode);
-        let proxy = Proxy::start(&config);
-        until("the watch", || old.calls() > 0);
-        let with = |pointer: &str, value: Value| changed(&config, pointer, value).to_string();
-        let bad_files = [
+        let proxy = ProxyProcess::start(&config);
+        wait_until("the watch", || old.call_count() > 0);
+        let config_with = |pointer: &str, value: Value| with_value(&config, pointer, value).to_string();
+        let rejected_files = [
             String::new(),
             "no json".into(),
             json!({"discovery": new.address.to_string()}).to_string(),
-            with("/discovery", json!("nowhere")),
-            with("/limits/sockets", json!(3)),
-            with("/settings/profiles/0/aim_us", json!(9_000_000)),
-            with("/settings/my_zone", json!("north")),
+            config_with("/discovery", json!("nowhere")),
+            config_with("/limits/sockets", json!(3)),
+            config_with("/settings/profiles/0/aim_us", json!(9_000_000)),
+            config_with("/settings/my_zone", json!("north")),
         ];
-        for bad in bad_files {
-            let before = proxy.log().matches("SIGHUP").count();
-            proxy.reload(&bad);
-            until("a line about the bad file", || proxy.log().matches("SIGHUP").count() > before);
-            assert_eq!(ask(&proxy, &request("read", 7000)).body, b"a", "{mode}");
-            assert_eq!(new.calls(), 0, "{mode}: moved by {bad}");
+        for rejected in rejected_files {
+            let before = proxy.count_in_log("SIGHUP");
+            proxy.reload(&rejected);
+            wait_until("a line about the rejected file", || proxy.count_in_log("SIGHUP") > before);
+            assert_eq!(send_request(&proxy, &request("read", 7000)).body, b"a", "{mode}");
+            assert_eq!(new.call_count(), 0, "{mode}: moved by {rejected}");
         }
         config["discovery"] = json!(new.address.to_string());
         proxy.reload(&config.to_string());
-        until("a call at the new address", || new.calls() > 0);
-        let before = old.calls();
+        wait_until("a call at the new address", || new.call_count() > 0);
+        let before = old.call_count();
         assert_eq!(
-            ask(&proxy, &request("read", 7000)).body,
+            send_request(&proxy, &request("read", 7000)).body,
             b"a",
             "the old list holds until there is a new one"
         );
-        new.tell(true, &[line("b", b.address, "ready", 0)]);
-        until("the new list", || ask(&proxy, &request("read", 7000)).body == b"b");
-        assert_eq!(old.calls(), before, "{mode}: the old address is left alone");
+        new.publish_snapshot(&[endpoint("b", backend_b.address, "ready", 0)]);
+        wait_until("the new list", || send_request(&proxy, &request("read", 7000)).body == b"b");
+        assert_eq!(old.call_count(), before, "{mode}: the old address is left alone");
     }
 }
 
-/// A reload while discovery is silent. What it has to tell counts as told 4 s after the signal: a proxy of a large
-/// fleet does not wait its turn then, as it does where discovery refuses calls.
+/// Guards against a proxy of a large fleet that waits its turn before it calls an unresponsive discovery again.
 #[test]
 fn a_silent_discovery_is_asked_again_at_once_for_the_whole_list() {
-    let backend = Backend::start(|_| ok("x"));
+    let backend = Backend::start(|_| ok_response("x"));
     let (old, new) = (Discovery::start(), Discovery::start());
-    let mut config = config(old.address, &[line("a", backend.address, "ready", 0)]);
+    let mut config = config(old.address, &[endpoint("a", backend.address, "ready", 0)]);
     config["settings"]["discovery"] = json!("subscribe");
     config["settings"]["group_size"] = json!(300);
-    let proxy = Proxy::start(&config);
+    let proxy = ProxyProcess::start(&config);
     config["discovery"] = json!(new.address.to_string());
     proxy.reload(&config.to_string());
-    until("a call at the new address", || new.calls() == 1);
+    wait_until("a call at the new address", || new.call_count() == 1);
     let began = Instant::now();
-    until("a second one", || new.calls() == 2);
+    wait_until("a second one", || new.call_count() == 2);
     // A second later nothing more may go to a backend that drains.
     assert!(began.elapsed() < Duration::from_secs(5), "{:?}", began.elapsed());
     assert!(!proxy.log().contains("subscription lost"), "{}", proxy.log());
-    assert_eq!(ask(&proxy, &request("read", 7000)).status(), 200, "the list held stays in force");
+    assert_eq!(send_request(&proxy, &request("read", 7000)).status(), 200, "the list held stays in force");
 }
--- a/tests/proxy/reload/large_files.rs
+++ b/tests/proxy/reload/large_files.rs
@@ -1,110 +1,134 @@
 //! Files of thousands of classes and tenants, and signals in quick succession.
 
-use super::{asking, class, ended, lines, proxy_with_config, reload};
-use crate::support::{ask, changed, ok, request, settings, until, Backend, Client};
+use super::{class, ended_reloads, proxy_with_config, reload, reload_log, request_of_class};
+use crate::support::{ok_response, request, send_request, settings, wait_until, with_value, Backend, Client};
 use serde_json::{json, Value};
+use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
+use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// Signals in a burst, each with another file, also while one is read: the last is in force at the end, and no older one comes after it.
+/// Guards against an older file that comes into force after the last of a burst of signals.
 #[test]
 fn a_burst_of_signals_ends_with_the_last_file() {
-    let backend = Backend::start(|_| ok("x"));
+    let backend = Backend::start(|_| ok_response("x"));
     let (proxy, _discovery, config) = proxy_with_config(&[&backend]);
-    let long_read = large(&config, 3_000, 10_000).to_string();
+    let long_read = large_config(&config, 3_000, 10_000).to_string();
     let mut last = 0;
     for round in 0..5 {
-        for n in 0..10 {
-            last = round * 10 + n;
-            // Each other file takes long to read: the signal for the next comes meanwhile.
-            let text = match n % 2 {
+        for number in 0..10 {
+            last = round * 10 + number;
+            // Every second file takes long to read: the signal for the next comes meanwhile.
+            let text = match number % 2 {
                 0 => long_read.clone(),
-                _ => changed(&config, "/settings/profiles/2", class(&format!("c{last}"), "free")).to_string(),
+                _ => with_value(&config, "/settings/profiles/2", class(&format!("c{last}"), "free"))
+                    .to_string(),
             };
             proxy.reload(&text);
         }
-        until("the last class", || ask(&proxy, &asking(&format!("c{last}"), "GET")).status() == 200);
-        assert_eq!(ask(&proxy, &request("pay", 7000)).status(), 400, "the class in its place is gone");
+        wait_until("the last class", || {
+            send_request(&proxy, &request_of_class(&format!("c{last}"), "GET")).status() == 200
+        });
+        assert_eq!(
+            send_request(&proxy, &request("pay", 7000)).status(),
+            400,
+            "the class in its place is gone"
+        );
     }
     std::thread::sleep(Duration::from_millis(300)); // for a read that would still be to come
-    assert_eq!(ask(&proxy, &asking(&format!("c{last}"), "GET")).status(), 200);
-    let versions: Vec<u64> = lines(&proxy)
+    assert_eq!(send_request(&proxy, &request_of_class(&format!("c{last}"), "GET")).status(), 200);
+    let versions: Vec<u64> = reload_log(&proxy)
         .iter()
-        .filter_map(|l| l.strip_prefix("configuration ")?.split(' ').next()?.parse().ok())
+        .filter_map(|line| line.strip_prefix("configuration ")?.split(' ').next()?.parse().ok())
         .collect();
-    assert!(versions.windows(2).all(|w| w[0] <= w[1]), "{versions:?}");
+    assert!(versions.windows(2).all(|pair| pair[0] <= pair[1]), "{versions:?}");
 }
 
 /// Settings of thousands of classes and tenants.
-fn large(config: &Value, classes: usize, tenants: usize) -> Value {
+fn large_config(config: &Value, classes: usize, tenants: usize) -> Value {
     let mut config = config.clone();
-    let own = |n: usize| {
-        let mut class = class(&format!("route-number-{n}-of-the-platform"), "free");
-        class["aim_us"] = json!(5_000_000 + n);
+    let new_class = |number: usize| {
+        let mut class = class(&format!("route-number-{number}-of-the-platform"), "free");
+        class["aim_us"] = json!(5_000_000 + number);
         class
     };
     let first = settings()["profiles"].as_array().unwrap().clone();
-    let others = (first.len()..classes).map(own);
+    let others = (first.len()..classes).map(new_class);
     config["settings"]["profiles"] = first.into_iter().chain(others).collect();
-    let tenant = |n: usize| json!({"name": format!("tenant-{n}"), "quota_rps": 5.0, "share": 0.00005});
+    let tenant =
+        |number: usize| json!({"name": format!("tenant-{number}"), "quota_rps": 5.0, "share": 0.00005});
     config["settings"]["customers"] = (0..tenants).map(tenant).collect();
     config
 }
 
+/// Classes and tenants of the largest file that is played.
 const CLASSES: usize = 5_900;
 
 const TENANTS: usize = 19_000;
 
-/// The longest that any of a steady stream of requests takes while such files come into force, one after another.
-#[test]
-fn no_request_waits_for_a_large_file_to_be_read() {
-    let backend = Backend::start(|_| ok("x"));
-    let (proxy, _discovery, config) = proxy_with_config(&[&backend]);
-    let (one, other) = (large(&config, CLASSES, TENANTS), large(&config, CLASSES - 100, TENANTS - 100));
-    let texts = [one.to_string(), other.to_string()];
-    reload(&proxy, &one);
-    let (address, over) = (proxy.address, Arc::new(AtomicBool::new(false)));
+/// The latencies of a stream of requests.
+struct LatencySummary {
+    longest: Duration,
+    count: usize,
+}
+
+/// Sends one request after another until `stop` is set.
+fn start_request_stream(address: SocketAddr, stop: Arc<AtomicBool>) -> JoinHandle<LatencySummary> {
     let text = request("read", 7000).replace("X-Time", "X-Account: tenant-5\r\nX-Time");
-    let end = over.clone();
-    let stream = std::thread::spawn(move || {
-        let (mut client, mut longest, mut count) = (Client::open(address), Duration::ZERO, 0);
-        while !end.load(Ordering::SeqCst) {
+    std::thread::spawn(move || {
+        let mut client = Client::open(address);
+        let mut summary = LatencySummary { longest: Duration::ZERO, count: 0 };
+        while !stop.load(Ordering::SeqCst) {
             let began = Instant::now();
             client.send(&text);
-            assert_eq!(client.answer().expect("an answer").status(), 200);
-            (longest, count) = (longest.max(began.elapsed()), count + 1);
+            assert_eq!(client.read_response().expect("an answer").status(), 200);
+            summary.longest = summary.longest.max(began.elapsed());
+            summary.count += 1;
             std::thread::sleep(Duration::from_millis(1));
         }
-        (longest, count)
-    });
+        summary
+    })
+}
+
+/// Guards against requests that wait while a large file is read.
+#[test]
+fn no_request_waits_for_a_large_file_to_be_read() {
+    let backend = Backend::start(|_| ok_response("x"));
+    let (proxy, _discovery, config) = proxy_with_config(&[&backend]);
+    let first = large_config(&config, CLASSES, TENANTS);
+    let second = large_config(&config, CLASSES - 100, TENANTS - 100);
+    let texts = [first.to_string(), second.to_string()];
+    reload(&proxy, &first);
+    let stop = Arc::new(AtomicBool::new(false));
+    let stream = start_request_stream(proxy.address, stop.clone());
     let mut slowest = Duration::ZERO;
-    for n in 0..10 {
-        let before = ended(&proxy);
+    for number in 0..10 {
+        let before = ended_reloads(&proxy);
         let began = Instant::now();
-        proxy.reload(&texts[(n + 1) % 2]);
-        until("in force", || ended(&proxy) > before);
+        proxy.reload(&texts[(number + 1) % 2]);
+        wait_until("in force", || ended_reloads(&proxy) > before);
         slowest = slowest.max(began.elapsed());
         std::thread::sleep(Duration::from_millis(50));
     }
-    over.store(true, Ordering::SeqCst);
-    let (longest, count) = stream.join().unwrap();
+    stop.store(true, Ordering::SeqCst);
+    let LatencySummary { longest, count } = stream.join().unwrap();
     println!("{} bytes in force after {slowest:?}; longest of {count} requests {longest:?}", texts[0].len());
     assert!(slowest < Duration::from_secs(3), "in force after {slowest:?}");
-    // Far more than on a quiet machine; before, a request waited for the whole of the read.
+    // Far more than on a quiet machine, far less than the whole of the read.
     assert!(longest < Duration::from_millis(250), "{longest:?}");
 }
 
-/// Files come one after another for as long as the proxy runs: what was replaced is let go of.
+/// Guards against memory of replaced configurations that is never freed.
 #[test]
 fn memory_stays_flat_while_files_are_replaced() {
-    let backend = Backend::start(|_| ok("x"));
+    let backend = Backend::start(|_| ok_response("x"));
     let (proxy, _discovery, config) = proxy_with_config(&[&backend]);
-    let texts = [large(&config, 1_500, 5_000), large(&config, 1_400, 4_900)];
+    let texts = [large_config(&config, 1_500, 5_000), large_config(&config, 1_400, 4_900)];
     let mut early = 0;
-    for n in 0..30 {
-        reload(&proxy, &texts[n % 2]);
-        if n == 9 {
+    for number in 0..30 {
+        reload(&proxy, &texts[number % 2]);
+        if number == 9 {
             early = proxy.memory_kib();
         }
     }
@@ -112,30 +136,31 @@
     assert!(late < early + 8192, "{early} KiB after a third, {late} KiB at the end");
 }
 
-/// A signal to reload after the one to end: what is in hand is answered, and the end comes when it would.
+/// Guards against a SIGHUP after SIGTERM that delays the end or breaks requests in flight.
 #[test]
 fn a_reload_neither_delays_nor_breaks_the_end() {
-    let backend = Backend::start(|m| {
-        if m.start.contains("/pay/") {
+    let backend = Backend::start(|message| {
+        if message.start_line.contains("/pay/") {
             std::thread::sleep(Duration::from_millis(900));
         }
-        ok("x")
+        ok_response("x")
     });
     let (mut proxy, _discovery, config) = proxy_with_config(&[&backend]);
     let large =
-        large(&changed(&config, "/settings/profiles/2/name", json!("new")), CLASSES, TENANTS).to_string();
+        large_config(&with_value(&config, "/settings/profiles/2/name", json!("new")), CLASSES, TENANTS)
+            .to_string();
     let mut client = Client::open(proxy.address);
     client.send(&request("pay", 7000));
-    until("the attempt", || backend.requests().len() == 1);
+    wait_until("the attempt", || backend.requests().len() == 1);
     let began = Instant::now();
     proxy.terminate();
     for _ in 0..20 {
         proxy.reload(&large);
         std::thread::sleep(Duration::from_millis(20));
     }
-    assert_eq!(client.answer().map(|a| a.status()), Some(200));
-    assert!(client.ends_whole(), "reset");
-    assert!(proxy.exit().success());
+    assert_eq!(client.read_response().map(|a| a.status()), Some(200));
+    assert!(client.ends_without_reset(), "reset");
+    assert!(proxy.wait_for_exit().success());
     assert!(began.elapsed() < Duration::from_secs(5), "{:?}", began.elapsed());
     assert!(!proxy.log().contains("ERROR"), "{}", proxy.log());
 }
--- a/tests/proxy/reload/mod.rs
+++ b/tests/proxy/reload/mod.rs
@@ -6,28 +6,30 @@
 mod rejected_files;
 mod requests_in_flight;
 
-use crate::support::{config, line, request, settings, until, Backend, Discovery, Proxy};
+use crate::support::{
+    config, ready_endpoints, request, settings, wait_until, Backend, Discovery, ProxyProcess,
+};
 use serde_json::{json, Value};
 
-/// The lines about reloads.
-fn lines(proxy: &Proxy) -> Vec<String> {
+/// The log lines about reloads, without what precedes their message.
+fn reload_log(proxy: &ProxyProcess) -> Vec<String> {
     let log = proxy.log();
-    let told = log.lines().filter_map(|l| Some(l.split_once("SIGHUP: ")?.1.to_string()));
-    told.collect()
+    log.lines().filter_map(|line| Some(line.split_once("SIGHUP: ")?.1.to_string())).collect()
 }
 
-/// How many reloads have come to their end, good or bad.
-fn ended(proxy: &Proxy) -> usize {
-    let last = |l: &&String| l.contains("configuration in force") || l.contains("configuration rejected");
-    lines(proxy).iter().filter(last).count()
+/// How many reloads have ended, in force or rejected.
+fn ended_reloads(proxy: &ProxyProcess) -> usize {
+    let is_end =
+        |line: &&String| line.contains("configuration in force") || line.contains("configuration rejected");
+    reload_log(proxy).iter().filter(is_end).count()
 }
 
 /// Replaces the file and waits until it is in force.
-fn reload(proxy: &Proxy, config: &Value) {
-    let before = ended(proxy);
+fn reload(proxy: &ProxyProcess, config: &Value) {
+    let before = ended_reloads(proxy);
     proxy.reload(&config.to_string());
-    until("a line about the reload", || ended(proxy) > before);
-    let last = lines(proxy).pop().unwrap();
+    wait_until("a line about the reload", || ended_reloads(proxy) > before);
+    let last = reload_log(proxy).pop().unwrap();
     assert!(last.contains("configuration in force"), "{last}");
 }
 
@@ -38,20 +40,17 @@
     class
 }
 
-/// A proxy before these backends, with its configuration.
-fn proxy_with_config(backends: &[&Backend]) -> (Proxy, Discovery, Value) {
+/// A proxy for these backends, its discovery and its configuration.
+fn proxy_with_config(backends: &[&Backend]) -> (ProxyProcess, Discovery, Value) {
     let discovery = Discovery::start();
-    let name = |n: usize| format!("s{n}");
-    let lines: Vec<Value> =
-        backends.iter().enumerate().map(|(n, b)| line(&name(n), b.address, "ready", 0)).collect();
-    let config = config(discovery.address, &lines);
-    (Proxy::start(&config), discovery, config)
+    let config = config(discovery.address, &ready_endpoints(backends.iter().copied()));
+    (ProxyProcess::start(&config), discovery, config)
 }
 
-/// A POST of a single-shot class, or a GET of a free one, of any name.
-fn asking(name: &str, method: &str) -> String {
-    let kind = if method == "GET" { "read" } else { "pay" };
-    request(kind, 7000)
-        .replace(&format!("/{kind}/"), &format!("/{name}/"))
-        .replace(&format!("Class: {kind}"), &format!("Class: {name}"))
+/// A POST, or a GET, of a class of any name.
+fn request_of_class(name: &str, method: &str) -> String {
+    let template = if method == "GET" { "read" } else { "pay" };
+    request(template, 7000)
+        .replace(&format!("/{template}/"), &format!("/{name}/"))
+        .replace(&format!("Class: {template}"), &format!("Class: {name}"))
 }
--- a/tests/proxy/reload/rejected_files.rs
+++ b/tests/proxy/reload/rejected_files.rs
@@ -1,55 +1,70 @@
 //! Files that cannot be used.
 
-use super::{asking, lines, proxy_with_config, reload};
-use crate::support::{ask, changed, line, ok, request, until, Backend, Discovery};
+use super::{proxy_with_config, reload, reload_log, request_of_class};
+use crate::support::{
+    endpoint, ok_response, request, send_request, wait_until, with_value, Backend, Discovery,
+};
 use serde_json::{json, Value};
 
+/// The text of a file that cannot be used, and what its log line contains.
+struct RejectedFile {
+    text: String,
+    error: &'static str,
+}
+
+/// Files that differ from this configuration in what makes them unusable.
+fn rejected_files(config: &Value) -> Vec<RejectedFile> {
+    let rejected = |text: &str, error| RejectedFile { text: text.to_string(), error };
+    let with = |pointer, value, error| rejected(&with_value(config, pointer, value).to_string(), error);
+    let whole_text = config.to_string();
+    vec![
+        rejected("", "BALANCER_CONFIG: expected JSON"),
+        rejected(&whole_text[..whole_text.len() / 2], "BALANCER_CONFIG: expected JSON"),
+        rejected("[]", "limits.sockets: missing"),
+        with("/listen", json!("nowhere"), "listen: expected an IP address"),
+        with("/discovery", json!("nowhere"), "discovery: expected an IP address"),
+        with("/known/endpoints", json!([{}]), "known.endpoints[0].status: missing"),
+        with("/settings/profiles/0/effect", json!("odd"), "settings.profiles[0].effect: expected free"),
+        with("/settings/profiles/1/name", json!("read"), "settings.profiles[1].name: the name stands twice"),
+        with("/settings/profiles/0/gain", json!(0), "settings.profiles[].gain: expected a finite number"),
+        with("/settings/customers", json!([{"name": "a"}]), "settings.customers[0].quota_rps: missing"),
+        with("/settings/limits/open_cap", json!(-1), "settings.limits.open_cap: expected a whole number"),
+        with("/settings/position", json!(1), "settings.position: expected less than proxies"),
+        with("/settings/rules/cold_from", json!(2), "settings.rules.cold_from: expected a part"),
+        with("/settings/profiles", json!("x".repeat(100_000)), "settings.profiles: expected an array"),
+    ]
+}
+
+/// Guards against a rejected file that comes into force in part, or is logged in many lines or a long one.
 #[test]
 fn a_file_that_cannot_be_used_changes_nothing_of_what_it_says() {
-    let backend = Backend::start(|_| ok("x"));
+    let backend = Backend::start(|_| ok_response("x"));
     let (proxy, discovery, good) = proxy_with_config(&[&backend]);
-    let elsewhere = Discovery::start();
-    let mut other = changed(&good, "/discovery", json!(elsewhere.address.to_string()));
+    let other_discovery = Discovery::start();
+    let mut other = with_value(&good, "/discovery", json!(other_discovery.address.to_string()));
     other["settings"]["profiles"][2]["name"] = json!("new");
-    let whole = other.to_string();
-    let bad = |pointer: &str, value: Value| changed(&other, pointer, value).to_string();
-    let cases = [
-        (String::new(), "BALANCER_CONFIG: expected JSON"),
-        (whole[..whole.len() / 2].into(), "BALANCER_CONFIG: expected JSON"),
-        ("[]".into(), "limits.sockets: missing"),
-        (bad("/listen", json!("nowhere")), "listen: expected an IP address"),
-        (bad("/discovery", json!("nowhere")), "discovery: expected an IP address"),
-        (bad("/known/endpoints", json!([{}])), "known.endpoints[0].status: missing"),
-        (bad("/settings/profiles/0/effect", json!("odd")), "settings.profiles[0].effect: expected free"),
-        (bad("/settings/profiles/1/name", json!("read")), "settings.profiles[1].name: the name stands twice"),
-        (bad("/settings/profiles/0/gain", json!(0)), "settings.profiles[].gain: expected a finite number"),
-        (bad("/settings/customers", json!([{"name": "a"}])), "settings.customers[0].quota_rps: missing"),
-        (bad("/settings/limits/open_cap", json!(-1)), "settings.limits.open_cap: expected a whole number"),
-        (bad("/settings/position", json!(1)), "settings.position: expected less than proxies"),
-        (bad("/settings/rules/cold_from", json!(2)), "settings.rules.cold_from: expected a part"),
-        (bad("/settings/profiles", json!("x".repeat(100_000))), "settings.profiles: expected an array"),
-    ];
-    let check = |told: &str| {
-        let last = lines(&proxy).pop().unwrap();
-        assert!(last.starts_with("configuration rejected error=") && last.contains(told), "{last}");
+    let cases = rejected_files(&other);
+    let assert_rejected = |error: &str| {
+        let last = reload_log(&proxy).pop().unwrap();
+        assert!(last.starts_with("configuration rejected error=") && last.contains(error), "{last}");
         assert!(last.len() < 1000, "{} bytes in a line", last.len());
-        assert_eq!(ask(&proxy, &request("pay", 7000)).status(), 200);
-        assert_eq!(ask(&proxy, &asking("new", "POST")).status(), 400);
+        assert_eq!(send_request(&proxy, &request("pay", 7000)).status(), 200);
+        assert_eq!(send_request(&proxy, &request_of_class("new", "POST")).status(), 400);
     };
-    for (number, (text, told)) in cases.into_iter().enumerate() {
+    for (number, RejectedFile { text, error }) in cases.into_iter().enumerate() {
         proxy.reload(&text);
-        until("a line about the bad file", || lines(&proxy).len() > number);
-        assert_eq!(lines(&proxy).len(), number + 1, "one line each");
-        check(told);
+        wait_until("a line about the rejected file", || reload_log(&proxy).len() > number);
+        assert_eq!(reload_log(&proxy).len(), number + 1, "one line each");
+        assert_rejected(error);
     }
-    let before = lines(&proxy).len();
-    std::fs::remove_file(&proxy.file).unwrap();
+    let before = reload_log(&proxy).len();
+    std::fs::remove_file(&proxy.config_file).unwrap();
     proxy.signal("-HUP");
-    until("a line about the file that is gone", || lines(&proxy).len() > before);
-    check("expected a readable file");
-    assert_eq!(elsewhere.calls(), 0);
-    discovery.tell(false, &[line("s0", backend.address, "draining", 0)]);
-    until("it still goes by the old discovery", || proxy.ready() == 503);
+    wait_until("a line about the missing file", || reload_log(&proxy).len() > before);
+    assert_rejected("expected a readable file");
+    assert_eq!(other_discovery.call_count(), 0);
+    discovery.publish_delta(&[endpoint("s0", backend.address, "draining", 0)]);
+    wait_until("it still watches the old discovery", || proxy.readiness_status() == 503);
     reload(&proxy, &other);
-    until("it asks at the new one", || elsewhere.calls() > 0);
+    wait_until("it calls the new one", || other_discovery.call_count() > 0);
 }
--- a/tests/proxy/reload/requests_in_flight.rs
+++ b/tests/proxy/reload/requests_in_flight.rs
@@ -1,61 +1,78 @@
 //! Requests that are in flight or half received while the configuration is replaced.
 
-use super::{asking, class, proxy_with_config, reload};
-use crate::support::{ask, ok, request, until, Backend, Client, Reply};
+use super::{class, proxy_with_config, reload, request_of_class};
+use crate::support::{ok_response, request, send_request, wait_until, Backend, Client, Reply};
 use serde_json::json;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 
-/// A backend that answers reads, and holds anything else until told, when it breaks the connection off once; what
-/// comes later is served.
-fn breaking() -> (Backend, Arc<AtomicBool>) {
-    let (told, broken) = (Arc::new(AtomicBool::new(false)), AtomicBool::new(false));
-    let go = told.clone();
-    let backend = Backend::start(move |m| {
-        if m.start.contains("/read/") || broken.load(Ordering::SeqCst) {
-            return ok("x");
+/// A backend that serves reads, and closes the connection of the first other request once its test says so.
+struct ClosingBackend {
+    backend: Backend,
+    may_close: Arc<AtomicBool>,
+}
+
+fn start_closing_backend() -> ClosingBackend {
+    let (may_close, has_closed) = (Arc::new(AtomicBool::new(false)), AtomicBool::new(false));
+    let closes_now = may_close.clone();
+    let backend = Backend::start(move |message| {
+        if message.start_line.contains("/read/") || has_closed.load(Ordering::SeqCst) {
+            return ok_response("x");
         }
-        until("told to break off", || go.load(Ordering::SeqCst));
-        broken.store(true, Ordering::SeqCst);
-        Reply::SayAndClose(String::new())
+        wait_until("leave to close", || closes_now.load(Ordering::SeqCst));
+        has_closed.store(true, Ordering::SeqCst);
+        Reply::SendAndClose(String::new())
     });
-    (backend, told)
+    ClosingBackend { backend, may_close }
 }
 
-/// A request of a class whose effect is replaced while it is in hand: its status after its connection broke, and how
-/// often it was sent. A second backend would serve it if it were sent again.
-fn broken_off_in_hand(came_with: &str, then: Option<&str>) -> (u16, usize) {
-    let ((a, tell_a), (b, tell_b)) = (breaking(), breaking());
-    let (proxy, _discovery, mut config) = proxy_with_config(&[&a, &b]);
-    (0..10).for_each(|_| assert_eq!(ask(&proxy, &request("read", 7000)).status(), 200));
-    config["settings"]["profiles"][2] = class("odd", came_with);
+/// How a request ended, and how often it was sent.
+#[derive(Debug, PartialEq)]
+struct Outcome {
+    status: u16,
+    attempts: usize,
+}
+
+/// A request of a class that a reload replaces before the connection of its attempt closes. A second backend serves it
+/// if it is retried.
+fn outcome_after_reload(effect: &str, new_effect: Option<&str>) -> Outcome {
+    let closing_backends = [start_closing_backend(), start_closing_backend()];
+    let backends: Vec<&Backend> = closing_backends.iter().map(|closing| &closing.backend).collect();
+    let (proxy, _discovery, mut config) = proxy_with_config(&backends);
+    (0..10).for_each(|_| assert_eq!(send_request(&proxy, &request("read", 7000)).status(), 200));
+    config["settings"]["profiles"][2] = class("odd", effect);
     reload(&proxy, &config);
-    let sent = || [&a, &b].iter().flat_map(|b| b.requests()).filter(|m| m.start.contains("/odd/")).count();
+    let attempts = || {
+        let requests = backends.iter().flat_map(|backend| backend.requests());
+        requests.filter(|message| message.start_line.contains("/odd/")).count()
+    };
     let mut client = Client::open(proxy.address);
-    client.send(&asking("odd", if came_with == "free" { "GET" } else { "POST" }));
-    until("the attempt", || sent() == 1);
+    client.send(&request_of_class("odd", if effect == "free" { "GET" } else { "POST" }));
+    wait_until("the attempt", || attempts() == 1);
     let others = vec![class("read", "free"), class("vote", "guarded")];
-    let odd = then.map(|effect| class("odd", effect));
+    let odd = new_effect.map(|effect| class("odd", effect));
     config["settings"]["profiles"] = odd.into_iter().chain(others).collect();
     reload(&proxy, &config);
-    [tell_a, tell_b].iter().for_each(|told| told.store(true, Ordering::SeqCst));
-    let status = client.answer().expect("an answer").status();
-    (status, sent())
+    for closing in &closing_backends {
+        closing.may_close.store(true, Ordering::SeqCst);
+    }
+    let status = client.read_response().expect("an answer").status();
+    Outcome { status, attempts: attempts() }
 }
 
+/// Guards against a retry by the new idempotency of a class, or none by the old.
 #[test]
 fn a_request_in_hand_keeps_the_effect_that_it_came_with() {
-    assert_eq!(broken_off_in_hand("single_shot", Some("free")), (502, 1));
-    assert_eq!(broken_off_in_hand("single_shot", None), (502, 1));
-    assert_eq!(broken_off_in_hand("free", None).1, 2, "repeated");
-    assert_eq!(broken_off_in_hand("free", Some("single_shot")).1, 2, "repeated");
+    assert_eq!(outcome_after_reload("single_shot", Some("free")), Outcome { status: 502, attempts: 1 });
+    assert_eq!(outcome_after_reload("single_shot", None), Outcome { status: 502, attempts: 1 });
+    assert_eq!(outcome_after_reload("free", None).attempts, 2, "not retried");
+    assert_eq!(outcome_after_reload("free", Some("single_shot")).attempts, 2, "not retried");
 }
 
-/// A class that is replaced while the body of a request of it is on the way: what was read of the head is no longer
-/// true, and its number may be another's.
+/// Guards against a request that goes by the classes of its head where they are replaced before its body comes.
 #[test]
 fn a_request_whose_body_comes_after_the_reload_goes_by_the_new_classes() {
-    let backend = Backend::start(|_| ok("x"));
+    let backend = Backend::start(|_| ok_response("x"));
     let (proxy, _discovery, mut config) = proxy_with_config(&[&backend]);
     let pay = request("pay", 7000);
     for (profiles, status) in [
@@ -71,7 +88,7 @@
         config["settings"]["profiles"] = profiles;
         reload(&proxy, &config);
         client.send(&pay[pay.len() - 2..]);
-        let answer = client.answer().expect("an answer").status();
+        let answer = client.read_response().expect("an answer").status();
         // The body has less time than a loaded machine may take.
         assert!(answer == status || answer == 408, "{answer} in place of {status}");
         client.stop_sending();
--- a/tests/proxy/slow_clients.rs
+++ b/tests/proxy/slow_clients.rs
@@ -1,134 +1,151 @@
-//! Clients that write slowly, beside peers that send no whole request: the former are owed their time, the latter an
-//! end within 3 s of connecting.
+//! Clients that write slowly, which are served, and peers that send no whole request, which are not.
 
-use crate::support::{config, line, ok, proxy_for, request, Backend, Client, Discovery, Proxy};
+use crate::support::{
+    config, endpoint, ok_response, proxy_for, request, Backend, Client, Discovery, ProxyProcess,
+};
 use serde_json::json;
 use std::time::{Duration, Instant};
 
-/// Peers that send no proper request are owed an error or a close so soon after they connect.
-const BAD_PEERS_END: Duration = Duration::from_secs(3);
+/// A peer that sends no whole request has an error or the end of its connection so soon after it connects.
+const STALLED_PEER_END: Duration = Duration::from_secs(3);
 
 fn sleep_ms(ms: u64) {
     std::thread::sleep(Duration::from_millis(ms));
 }
 
 /// A client's connection, new or with one request on it answered.
-fn open(proxy: &Proxy, served_before: bool) -> Client {
+fn open(proxy: &ProxyProcess, served_before: bool) -> Client {
     let mut client = Client::open(proxy.address);
     if served_before {
         client.send(&request("read", 7000));
-        assert_eq!(client.answer().map(|a| a.status()), Some(200));
+        assert_eq!(client.read_response().map(|response| response.status()), Some(200));
     }
     client
 }
 
-/// Sends the text in two parts with a rest between them.
-fn send_slowly(client: &mut Client, text: &str, first: usize, rest_ms: u64) {
-    client.send(&text[..first]);
-    sleep_ms(rest_ms);
-    client.send(&text[first..]);
+/// Sends the text in two parts with a pause between them.
+fn send_slowly(client: &mut Client, text: &str, first_length: usize, pause_ms: u64) {
+    client.send(&text[..first_length]);
+    sleep_ms(pause_ms);
+    client.send(&text[first_length..]);
 }
 
-/// Runs the cases side by side, and returns what each came to.
-fn side_by_side<C: Copy + Send + 'static, R: Send + 'static>(cases: &[C], play: fn(C) -> R) -> Vec<(C, R)> {
-    let running: Vec<_> = cases
-        .iter()
-        .map(|case| {
-            (
-                *case,
-                std::thread::spawn({
-                    let case = *case;
-                    move || play(case)
-                }),
-            )
-        })
-        .collect();
-    running.into_iter().map(|(case, played)| (case, played.join().unwrap())).collect()
+/// Runs the cases at one time, and returns each with its result.
+fn run_concurrently<Case: Copy + Send + 'static, Outcome: Send + 'static>(
+    cases: &[Case], run: fn(Case) -> Outcome,
+) -> Vec<(Case, Outcome)> {
+    let spawn = |case: &Case| {
+        let case = *case;
+        (case, std::thread::spawn(move || run(case)))
+    };
+    let running: Vec<_> = cases.iter().map(spawn).collect();
+    running.into_iter().map(|(case, thread)| (case, thread.join().unwrap())).collect()
 }
 
-/// The time for idle connections ran on through a request that had begun.
+/// Guards against an idle timeout that runs on through a request that has begun.
 #[test]
 fn a_request_that_begins_on_a_resting_connection_is_answered() {
-    let play = |(served_before, rest_ms): (bool, u64)| {
-        let backend = Backend::start(|_| ok("x"));
+    let run = |(served_before, idle_ms): (bool, u64)| {
+        let backend = Backend::start(|_| ok_response("x"));
         let (proxy, _discovery) = proxy_for(&[("a", &backend)]);
         let mut client = open(&proxy, served_before);
-        sleep_ms(rest_ms);
+        sleep_ms(idle_ms);
         send_slowly(&mut client, &request("pay", 7000), 30, 350);
-        client.answer().map(|a| a.status())
+        client.read_response().map(|response| response.status())
     };
-    let rests = [1700, 1800, 1900, 1950];
-    let cases: Vec<_> = [true, false].iter().flat_map(|s| rests.map(|rest| (*s, rest))).collect();
-    for (case, status) in side_by_side(&cases, play) {
-        assert_eq!(status, Some(200), "(served before, rest in ms): {case:?}");
+    let idle_times_ms = [1700, 1800, 1900, 1950];
+    let cases: Vec<_> = [true, false]
+        .iter()
+        .flat_map(|served_before| idle_times_ms.map(|idle_ms| (*served_before, idle_ms)))
+        .collect();
+    for (case, status) in run_concurrently(&cases, run) {
+        assert_eq!(status, Some(200), "(served before, idle in ms): {case:?}");
     }
 }
 
-/// The body had 0.75 s from its head, whatever time its client had told.
+/// Guards against a body that is given up long before its request's deadline.
 #[test]
 fn a_body_that_comes_slowly_is_waited_for() {
-    let play = |(served_before, body_ms): (bool, u64)| {
-        let backend = Backend::start(|_| ok("x"));
+    let run = |(served_before, body_delay_ms): (bool, u64)| {
+        let backend = Backend::start(|_| ok_response("x"));
         let (proxy, _discovery) = proxy_for(&[("a", &backend)]);
         let mut client = open(&proxy, served_before);
         let text = request("pay", 1800);
-        send_slowly(&mut client, &text, text.len() - 2, body_ms);
-        client.answer().map(|a| a.status())
+        send_slowly(&mut client, &text, text.len() - 2, body_delay_ms);
+        client.read_response().map(|response| response.status())
     };
-    let cases: Vec<_> = [true, false].iter().flat_map(|s| [900, 1200, 1500].map(|body| (*s, body))).collect();
-    for (case, status) in side_by_side(&cases, play) {
+    let cases: Vec<_> = [true, false]
+        .iter()
+        .flat_map(|served_before| [900, 1200, 1500].map(|delay_ms| (*served_before, delay_ms)))
+        .collect();
+    for (case, status) in run_concurrently(&cases, run) {
         assert_eq!(status, Some(200), "(served before, body after ms): {case:?}");
     }
 }
 
-/// What a peer sends that never sends a whole request, and whether it sends a good one first.
-type Stalling = (&'static str, bool);
+/// A peer that never sends a whole request.
+#[derive(Clone, Copy, Debug)]
+struct StalledPeer {
+    text: &'static str,
+    /// Whether it sends a whole request first.
+    served_before: bool,
+}
+
+const fn stalled_peer(text: &'static str, served_before: bool) -> StalledPeer {
+    StalledPeer { text, served_before }
+}
+
+const PAY_WITHOUT_ITS_BODY: &str = concat!(
+    "POST /pay/a HTTP/1.1\r\nX-Correlation-Id: 1\r\nX-Service-Class: pay\r\n",
+    "X-Time-Left-Ms: 60000\r\nContent-Length: 4\r\n\r\nbo"
+);
 
-const STALLING: [Stalling; 6] = [
-    ("", false),
-    ("GET /read", false),
-    ("GET /read", true),
-    ("GET /read/a HTTP/1.1\r\nHost: x\r\n", false),
-    ("POST /pay/a HTTP/1.1\r\nX-Correlation-Id: 1\r\nX-Service-Class: pay\r\nX-Time-Left-Ms: 60000\r\nContent-Length: 4\r\n\r\nbo", false),
-    ("POST /pay/a HTTP/1.1\r\nX-Correlation-Id: 1\r\nX-Service-Class: pay\r\nX-Time-Left-Ms: 60000\r\nContent-Length: 4\r\n\r\nbo", true),
+const STALLED_PEERS: [StalledPeer; 6] = [
+    stalled_peer("", false),
+    stalled_peer("GET /read", false),
+    stalled_peer("GET /read", true),
+    stalled_peer("GET /read/a HTTP/1.1\r\nHost: x\r\n", false),
+    stalled_peer(PAY_WITHOUT_ITS_BODY, false),
+    stalled_peer(PAY_WITHOUT_ITS_BODY, true),
 ];
 
-/// How long after it connected, or after it began where it was served before, a stalling peer had its end.
-fn ended_after((text, served_before): Stalling, proxy: &Proxy) -> Duration {
+/// How long after it connected, or after it began where it was served before, the connection of a peer ended.
+fn ended_after(stalled_peer: StalledPeer, proxy: &ProxyProcess) -> Duration {
     let mut began = Instant::now();
-    let mut peer = open(proxy, served_before);
-    if served_before {
+    let mut peer = open(proxy, stalled_peer.served_before);
+    if stalled_peer.served_before {
         sleep_ms(1500);
         began = Instant::now();
     }
-    peer.send(text);
-    let answer = peer.answer();
-    assert!(answer.as_ref().is_none_or(|a| a.status() >= 400), "{answer:?}");
+    peer.send(stalled_peer.text);
+    let response = peer.read_response();
+    assert!(response.as_ref().is_none_or(|response| response.status() >= 400), "{response:?}");
     began.elapsed()
 }
 
+/// Guards against peers that hold a slot for long with half a request.
 #[test]
 fn a_peer_that_stops_in_the_middle_of_a_request_has_its_end_within_3_s() {
-    let play = |stalling: Stalling| {
-        let backend = Backend::start(|_| ok("x"));
+    let run = |stalled_peer: StalledPeer| {
+        let backend = Backend::start(|_| ok_response("x"));
         let (proxy, _discovery) = proxy_for(&[("a", &backend)]);
-        ended_after(stalling, &proxy)
+        ended_after(stalled_peer, &proxy)
     };
-    for (case, after) in side_by_side(&STALLING, play) {
-        assert!(after < BAD_PEERS_END, "{after:?}: {case:?}");
+    for (case, after) in run_concurrently(&STALLED_PEERS, run) {
+        assert!(after < STALLED_PEER_END, "{after:?}: {case:?}");
     }
 }
 
-/// More of them than there are places: those that wait for one are owed their end as soon.
+/// Guards against peers that wait for a slot, and have their end that much later.
 #[test]
 fn on_a_crowded_proxy_too_stalling_peers_have_their_end_within_3_s() {
-    let backend = Backend::start(|_| ok("x"));
+    let backend = Backend::start(|_| ok_response("x"));
     let discovery = Discovery::start();
-    let mut config = config(discovery.address, &[line("a", backend.address, "ready", 0)]);
+    let mut config = config(discovery.address, &[endpoint("a", backend.address, "ready", 0)]);
     config["limits"]["sockets"] = json!(64);
-    let proxy = Proxy::start(&config);
+    let proxy = ProxyProcess::start(&config);
     let began = Instant::now();
-    let texts = STALLING.iter().filter(|s| !s.1).map(|s| s.0);
+    let texts = STALLED_PEERS.iter().filter(|peer| !peer.served_before).map(|peer| peer.text);
     let open = |text: &str| {
         let mut peer = Client::open(proxy.address);
         peer.send(text);
@@ -136,46 +153,46 @@
     };
     let mut peers: Vec<Client> = texts.cycle().take(60).map(open).collect();
     for peer in &mut peers {
-        let answer = peer.answer();
-        assert!(answer.as_ref().is_none_or(|a| a.status() >= 400), "{answer:?}");
+        let response = peer.read_response();
+        assert!(response.as_ref().is_none_or(|response| response.status() >= 400), "{response:?}");
     }
-    assert!(began.elapsed() < BAD_PEERS_END, "{:?}", began.elapsed());
+    assert!(began.elapsed() < STALLED_PEER_END, "{:?}", began.elapsed());
 }
 
-/// What has begun to come when the process has to end gets an answer, though it is none of a backend.
+/// Guards against a connection that is closed without an answer at the end of the process.
 #[test]
 fn a_request_that_is_never_whole_is_answered_before_the_end_of_the_process() {
-    for (text, _) in STALLING.iter().filter(|s| !s.0.is_empty()) {
-        let backend = Backend::start(|_| ok("x"));
+    for StalledPeer { text, .. } in STALLED_PEERS.iter().filter(|peer| !peer.text.is_empty()) {
+        let backend = Backend::start(|_| ok_response("x"));
         let (mut proxy, _discovery) = proxy_for(&[("a", &backend)]);
         let mut peer = Client::open(proxy.address);
         sleep_ms(300);
         proxy.terminate();
         sleep_ms(300);
         peer.send(text);
-        assert_eq!(peer.answer().map(|a| a.status()), Some(408), "{text:?}");
-        assert!(proxy.exit().success());
+        assert_eq!(peer.read_response().map(|response| response.status()), Some(408), "{text:?}");
+        assert!(proxy.wait_for_exit().success());
     }
 }
 
-/// A peer that has 60 MB to send has its error within 6 s of connecting, whether it reads meanwhile or not.
+/// Guards against a peer that sends for ever and is read for as long.
 #[test]
 fn a_peer_that_sends_60_mb_has_its_end_within_6_s() {
-    let backend = Backend::start(|_| ok("x"));
+    let backend = Backend::start(|_| ok_response("x"));
     let (proxy, _discovery) = proxy_for(&[("a", &backend)]);
-    let much = "x".repeat(60_000_000);
-    let length = format!("Content-Length: {}", much.len());
+    let long_text = "x".repeat(60_000_000);
+    let length = format!("Content-Length: {}", long_text.len());
     let texts = [
-        request("pay", 7000).replace("Content-Length: 4", &length).replace("body", &much),
-        much.clone(),
-        format!("GET /read/{much}"),
+        request("pay", 7000).replace("Content-Length: 4", &length).replace("body", &long_text),
+        long_text.clone(),
+        format!("GET /read/{long_text}"),
     ];
     for text in texts {
         let began = Instant::now();
         let mut peer = Client::open(proxy.address);
         peer.send(&text);
-        let answer = peer.answer();
-        assert!(answer.as_ref().is_none_or(|a| a.status() >= 400), "{answer:?}");
+        let response = peer.read_response();
+        assert!(response.as_ref().is_none_or(|response| response.status() >= 400), "{response:?}");
         assert!(began.elapsed() < Duration::from_secs(6), "{:?} for {:.30}", began.elapsed(), text);
     }
     assert!(backend.requests().is_empty());
--- a/tests/proxy/soak.rs
+++ b/tests/proxy/soak.rs
@@ -1,5 +1,5 @@
 //! A proxy among all faults at once, judged request by request. What goes wrong and when is drawn from a seed.
-//! `SOAK_SEEDS=FROM..TO` plays others than the few that every change has to pass.
+//! `SOAK_SEEDS=FROM..TO` runs others than the few that every change has to pass.
 
 mod backends;
 mod clients;
@@ -8,122 +8,138 @@
 mod record;
 mod rules;
 
-use crate::support::{config, line, until, Backend, Discovery, Faults, Proxy};
+use crate::support::{config, ready_endpoints, wait_until, Backend, Discovery, Faults, ProxyProcess};
 use backends::start_backend;
-use clients::Asker;
-use faults::{end, trouble, Play};
+use clients::ClientLoop;
+use faults::{EndpointState, Run};
 use rand_core::SeedableRng;
 use rand_pcg::Pcg32;
 use random::{below, one_in};
-use record::{summary, Record};
-use rules::judge;
+use record::RunRecord;
+use rules::check_rules;
 use serde_json::{json, Value};
+use std::ops::Range;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Seeds that every change has to pass, side by side.
-const SEEDS: std::ops::Range<u64> = 1..5;
-
-/// Plays side by side.
-const AT_ONCE: usize = 4;
-
-/// Requests come and troubles happen for so long, until the proxy is told to end.
-const TROUBLE: Duration = Duration::from_secs(12);
-
+/// Seeds that every change has to pass.
+const SEEDS: Range<u64> = 1..5;
+/// Runs side by side.
+const CONCURRENT_RUNS: usize = 4;
+/// Requests come and faults happen for so long, until the proxy is shut down.
+const FAULTS_DURATION: Duration = Duration::from_secs(12);
 const CLIENTS: u64 = 10;
-
 const BACKENDS: usize = 4;
 
-/// The configuration of a play.
-fn drawn_config(dice: &mut Pcg32, discovery: &Discovery, lines: &[Value], window: Duration) -> (Value, u64) {
-    let mut config = config(discovery.address, lines);
-    let longest_ms = 500 + below(dice, 2500);
+/// The configuration of a run, and the longest deadline in it.
+struct RunConfig {
+    config: Value,
+    longest_deadline_ms: u64,
+}
+
+fn draw_config(
+    random: &mut Pcg32, discovery: &Discovery, endpoints: &[Value], idempotency_window: Duration,
+) -> RunConfig {
+    let mut config = config(discovery.address, endpoints);
+    let longest_deadline_ms = 500 + below(random, 2500);
     for profile in config["settings"]["profiles"].as_array_mut().unwrap() {
-        profile["deadline_us"] = json!(longest_ms * 1000);
-        profile["aim_us"] = json!(longest_ms * 800);
-        profile["window_us"] = json!(window.as_micros() as u64);
+        profile["deadline_us"] = json!(longest_deadline_ms * 1000);
+        profile["aim_us"] = json!(longest_deadline_ms * 800);
+        profile["window_us"] = json!(idempotency_window.as_micros() as u64);
     }
-    config["settings"]["limits"]["cancel"] = json!(!one_in(dice, 3));
-    config["settings"]["limits"]["parallel_tries"] = json!(!one_in(dice, 3));
+    config["settings"]["limits"]["cancel"] = json!(!one_in(random, 3));
+    config["settings"]["limits"]["parallel_tries"] = json!(!one_in(random, 3));
     config["settings"]["limits"]["dial_timeout_us"] = json!(100_000);
-    config["settings"]["discovery"] = json!(if one_in(dice, 2) { "automatic" } else { "subscribe" });
-    config["limits"]["sockets"] = json!(96 + below(dice, 200));
-    (config, longest_ms)
+    config["settings"]["discovery"] = json!(if one_in(random, 2) { "automatic" } else { "subscribe" });
+    config["limits"]["sockets"] = json!(96 + below(random, 200));
+    RunConfig { config, longest_deadline_ms }
 }
 
-/// Plays a seed and returns all that was broken.
-fn play(seed: u64) -> Vec<String> {
-    let mut dice = Pcg32::seed_from_u64(seed);
-    let window = Duration::from_millis(200 + below(&mut dice, 1000));
-    let record = Arc::new(Record { window, ..Record::default() });
-    let (faults, discovery) = (Faults::none(), Discovery::start());
-    let backends: Vec<Backend> = (0..BACKENDS).map(|n| start_backend(n, seed, &record)).collect();
-    let named = backends.iter().enumerate();
-    let lines: Vec<Value> = named.map(|(n, b)| line(&format!("s{n}"), b.address, "ready", 0)).collect();
-    let (config, longest_ms) = drawn_config(&mut dice, &discovery, &lines, window);
-    faults.step_clock([0, 10, 3600, -3600][below(&mut dice, 4) as usize]);
-    let proxy = Proxy::spawn_among(&faults, &config);
-    until("ready", || proxy.ready() == 200);
-    let mut play = Play { proxy, config, faults, discovery, backends, record: record.clone() };
-    let (stop, next) = (AtomicBool::new(false), AtomicU64::new(seed << 32));
-    let mut broken = Vec::new();
+/// Sends requests from all clients while faults happen, and shuts the proxy down.
+fn send_requests_among_faults(run: &Run, random: &mut Pcg32, seed: u64, longest_deadline_ms: u64) {
+    let (stop, next_request_id) = (AtomicBool::new(false), AtomicU64::new(seed << 32));
+    let (stop, next_request_id) = (&stop, &next_request_id);
     std::thread::scope(|scope| {
         for client in 0..CLIENTS {
-            let dice = Pcg32::seed_from_u64(seed * 1000 + client);
-            let mut asker = Asker { to: play.proxy.address, dice, record: &record, next: &next, longest_ms };
-            let stop = &stop;
-            scope.spawn(move || asker.run(stop));
+            let mut client = ClientLoop {
+                proxy_address: run.proxy.address,
+                random: Pcg32::seed_from_u64(seed * 1000 + client),
+                record: &run.record,
+                next_request_id,
+                longest_deadline_ms,
+            };
+            scope.spawn(move || client.run(stop));
         }
-        let (began, mut states, mut crowd) = (Instant::now(), [(true, 1_000_000); BACKENDS], Vec::new());
-        while began.elapsed() < TROUBLE {
-            std::thread::sleep(Duration::from_millis(100 + below(&mut dice, 500)));
-            trouble(&play, &mut dice, &mut states, &mut crowd);
+        let began = Instant::now();
+        let mut states = [EndpointState { is_ready: true, started_at_ms: 1_000_000 }; BACKENDS];
+        let mut idle_clients = Vec::new();
+        while began.elapsed() < FAULTS_DURATION {
+            std::thread::sleep(Duration::from_millis(100 + below(random, 500)));
+            run.inject_fault(random, &mut states, &mut idle_clients);
         }
-        end(&play, &mut dice, longest_ms);
+        run.shut_down(random, longest_deadline_ms);
         stop.store(true, Ordering::SeqCst);
     });
-    if play.proxy.exit().code().is_some_and(|code| code != 0) {
-        broken.push("the proxy ended badly".into());
+}
+
+/// Starts the proxy of a seed, and what is around it.
+fn start_run(random: &mut Pcg32, seed: u64) -> (Run, u64) {
+    let idempotency_window = Duration::from_millis(200 + below(random, 1000));
+    let record = Arc::new(RunRecord { idempotency_window, ..RunRecord::default() });
+    let (faults, discovery) = (Faults::none(), Discovery::start());
+    let backends: Vec<Backend> = (0..BACKENDS).map(|number| start_backend(number, seed, &record)).collect();
+    let endpoints = ready_endpoints(backends.iter());
+    let RunConfig { config, longest_deadline_ms } =
+        draw_config(random, &discovery, &endpoints, idempotency_window);
+    faults.step_clock([0, 10, 3600, -3600][below(random, 4) as usize]);
+    let proxy = ProxyProcess::spawn_with_faults(&faults, &config);
+    wait_until("ready", || proxy.readiness_status() == 200);
+    (Run { proxy, config, faults, discovery, backends, record }, longest_deadline_ms)
+}
+
+/// Runs a seed and returns all that was broken.
+fn run_seed(seed: u64) -> Vec<String> {
+    let mut random = Pcg32::seed_from_u64(seed);
+    let (mut run, longest_deadline_ms) = start_run(&mut random, seed);
+    send_requests_among_faults(&run, &mut random, seed, longest_deadline_ms);
+    let mut violations = Vec::new();
+    if run.proxy.wait_for_exit().code().is_some_and(|code| code != 0) {
+        violations.push("the proxy ended badly".into());
     }
-    let log = play.proxy.log();
-    broken.extend(log.lines().filter(|l| l.contains("ERROR") || l.contains("panicked")).map(str::to_string));
-    broken.extend(judge(&record, &log));
-    println!("seed {seed}: {}, {} broken", summary(&record), broken.len());
-    broken
+    let log = run.proxy.log();
+    let is_error = |line: &&str| line.contains("ERROR") || line.contains("panicked");
+    violations.extend(log.lines().filter(is_error).map(str::to_string));
+    violations.extend(check_rules(&run.record, &log));
+    println!("seed {seed}: {}, {} violations", run.record.summary(), violations.len());
+    violations
 }
 
 /// The seeds that the environment names, or else those of every change.
-fn seeds() -> std::ops::Range<u64> {
-    let told = std::env::var("SOAK_SEEDS").ok();
-    let range = told.and_then(|text| {
+fn seeds() -> Range<u64> {
+    let text = std::env::var("SOAK_SEEDS").ok();
+    let range = text.and_then(|text| {
         let (from, to) = text.split_once("..")?;
         Some(from.parse().ok()?..to.parse().ok()?)
     });
     range.unwrap_or(SEEDS)
 }
 
+/// Guards against rules that hold for each fault alone and break where several meet.
 #[test]
 fn no_rule_is_broken_among_all_troubles_at_once() {
     let seeds: Vec<u64> = seeds().collect();
-    let mut broken = Vec::new();
-    for some in seeds.chunks(AT_ONCE) {
-        let plays: Vec<_> = some
-            .iter()
-            .map(|seed| {
-                (
-                    *seed,
-                    std::thread::spawn({
-                        let seed = *seed;
-                        move || play(seed)
-                    }),
-                )
-            })
-            .collect();
-        for (seed, played) in plays {
-            let faults = played.join().unwrap_or_else(|_| vec!["the play itself panicked".into()]);
-            broken.extend(faults.into_iter().map(|fault| format!("seed {seed}: {fault}")));
+    let mut violations = Vec::new();
+    for concurrent in seeds.chunks(CONCURRENT_RUNS) {
+        let spawn = |seed: &u64| {
+            let seed = *seed;
+            (seed, std::thread::spawn(move || run_seed(seed)))
+        };
+        let runs: Vec<_> = concurrent.iter().map(spawn).collect();
+        for (seed, run) in runs {
+            let found = run.join().unwrap_or_else(|_| vec!["the run itself panicked".into()]);
+            violations.extend(found.into_iter().map(|violation| format!("seed {seed}: {violation}")));
         }
     }
-    assert!(broken.is_empty(), "{}", broken.join("\n"));
+    assert!(violations.is_empty(), "{}", violations.join("\n"));
 }
--- a/tests/proxy/soak/faults.rs
+++ b/tests/proxy/soak/faults.rs
@@ -1,9 +1,9 @@
 //! The faults that meet the proxy, and the end of its process.
 
 use super::random::{below, one_in};
-use super::record::Record;
+use super::record::{DrainInterval, RunRecord};
 use super::BACKENDS;
-use crate::support::{line, Backend, Client, Discovery, Faults, Proxy};
+use crate::support::{endpoint, Backend, Client, Discovery, Faults, ProxyProcess};
 use rand_pcg::Pcg32;
 use serde_json::Value;
 use std::sync::atomic::Ordering;
@@ -12,76 +12,95 @@
 
 /// SIGKILL comes so long after SIGTERM and the longest deadline.
 const KILL_AFTER: Duration = Duration::from_millis(700);
-
 /// The longest deadline counts as so long at most.
 const LONGEST_COUNTED: Duration = Duration::from_secs(3);
+/// Between the start times of two processes of one backend.
+const RESTART_INTERVAL_MS: u64 = 1000;
 
-pub struct Play {
-    pub proxy: Proxy,
+/// One proxy, what is around it, and what is recorded of it.
+pub struct Run {
+    pub proxy: ProxyProcess,
     pub config: Value,
     pub faults: Faults,
     pub discovery: Discovery,
     pub backends: Vec<Backend>,
-    pub record: Arc<Record>,
+    pub record: Arc<RunRecord>,
 }
 
-impl Play {
-    /// A backend begins to drain, or has started again.
-    fn turn(&self, which: usize, state: &mut (bool, u64)) {
-        let line =
-            |status: &str, since| line(&format!("s{which}"), self.backends[which].address, status, since);
-        let mut drains = self.record.drains.lock().unwrap();
-        if state.0 {
-            drop(drains);
-            self.discovery.tell(false, &[line("draining", state.1)]);
-            self.record.drains.lock().unwrap().push((which, Instant::now(), None));
+/// A backend as the endpoint list has it.
+#[derive(Clone, Copy)]
+pub struct EndpointState {
+    pub is_ready: bool,
+    pub started_at_ms: u64,
+}
+
+impl Run {
+    /// Lets a ready backend drain, or a draining one start again.
+    fn toggle_backend(&self, number: usize, state: &mut EndpointState) {
+        if state.is_ready {
+            self.publish_endpoint(number, "draining", state.started_at_ms);
+            let drain = DrainInterval { backend: number, from: Instant::now(), until: None };
+            self.record.drains.lock().unwrap().push(drain);
         } else {
-            let last = drains.iter_mut().rev().find(|d| d.0 == which);
-            last.into_iter().for_each(|d| d.2 = Some(Instant::now()));
-            drop(drains);
-            state.1 += 1000;
-            self.discovery.tell(false, &[line("ready", state.1)]);
+            self.end_drain(number);
+            state.started_at_ms += RESTART_INTERVAL_MS;
+            self.publish_endpoint(number, "ready", state.started_at_ms);
         }
-        state.0 = !state.0;
+        state.is_ready = !state.is_ready;
     }
-}
 
-/// Something happens to the proxy.
-pub fn trouble(play: &Play, dice: &mut Pcg32, states: &mut [(bool, u64)], crowd: &mut Vec<Client>) {
-    match below(dice, 9) {
-        0..=2 => {
-            let which = below(dice, BACKENDS as u64) as usize;
-            // One at least is left.
-            if states[which].0 && states.iter().filter(|s| s.0).count() == 1 {
-                return;
-            }
-            play.turn(which, &mut states[which]);
-        }
-        3 => (0..=below(dice, 3)).for_each(|_| play.proxy.reload(&play.config.to_string())),
-        4 => drop(play.proxy.hold_up(Duration::from_millis(20 + below(dice, 120)), || {})),
-        5 => play.faults.step_clock([0, 5, -5, 3600, -3600][below(dice, 5) as usize]),
-        6 => play.faults.fail_accepts([0, 5, 50][below(dice, 3) as usize]),
-        7 => play.faults.fail_connects([0, 5, 30][below(dice, 3) as usize]),
-        _ => {
-            crowd.clear();
-            crowd.extend((0..below(dice, 80)).filter_map(|_| Client::try_open(play.proxy.address).ok()));
+    fn publish_endpoint(&self, number: usize, status: &str, started_at_ms: u64) {
+        let address = self.backends[number].address;
+        self.discovery.publish_delta(&[endpoint(&format!("s{number}"), address, status, started_at_ms)]);
+    }
+
+    fn end_drain(&self, number: usize) {
+        let mut drains = self.record.drains.lock().unwrap();
+        let last = drains.iter_mut().rev().find(|drain| drain.backend == number);
+        if let Some(drain) = last {
+            drain.until = Some(Instant::now());
         }
     }
-}
 
-/// Tells the proxy to end, in a trouble, and kills it as early as the platform may. Clients go on until then.
-pub fn end(play: &Play, dice: &mut Pcg32, longest_ms: u64) {
-    play.record.all_hang.store(one_in(dice, 2), Ordering::SeqCst);
-    let began = Instant::now();
-    play.proxy.terminate();
-    if one_in(dice, 2) {
-        play.proxy.hold_up(Duration::from_millis(below(dice, 140)), || {});
+    /// One fault that is drawn.
+    pub fn inject_fault(
+        &self, random: &mut Pcg32, states: &mut [EndpointState], idle_clients: &mut Vec<Client>,
+    ) {
+        match below(random, 9) {
+            0..=2 => {
+                let number = below(random, BACKENDS as u64) as usize;
+                let is_last = states[number].is_ready && states.iter().filter(|s| s.is_ready).count() == 1;
+                if !is_last {
+                    self.toggle_backend(number, &mut states[number]);
+                }
+            }
+            3 => (0..=below(random, 3)).for_each(|_| self.proxy.reload(&self.config.to_string())),
+            4 => drop(self.proxy.stall(Duration::from_millis(20 + below(random, 120)), || {})),
+            5 => self.faults.step_clock([0, 5, -5, 3600, -3600][below(random, 5) as usize]),
+            6 => self.faults.fail_accepts([0, 5, 50][below(random, 3) as usize]),
+            7 => self.faults.fail_connects([0, 5, 30][below(random, 3) as usize]),
+            _ => {
+                idle_clients.clear();
+                let open = |_| Client::try_open(self.proxy.address).ok();
+                idle_clients.extend((0..below(random, 80)).filter_map(open));
+            }
+        }
     }
-    if one_in(dice, 2) {
-        play.proxy.terminate();
-        play.proxy.signal("-HUP");
+
+    /// Sends SIGTERM, maybe with a fault, and SIGKILL as early as the platform may. Clients go on until then.
+    pub fn shut_down(&self, random: &mut Pcg32, longest_deadline_ms: u64) {
+        self.record.all_backends_hang.store(one_in(random, 2), Ordering::SeqCst);
+        let began = Instant::now();
+        self.proxy.terminate();
+        if one_in(random, 2) {
+            self.proxy.stall(Duration::from_millis(below(random, 140)), || {});
+        }
+        if one_in(random, 2) {
+            self.proxy.terminate();
+            self.proxy.signal("-HUP");
+        }
+        let kill = Duration::from_millis(longest_deadline_ms).min(LONGEST_COUNTED) + KILL_AFTER;
+        std::thread::sleep(kill.saturating_sub(began.elapsed()));
+        self.proxy.kill();
     }
-    let kill = Duration::from_millis(longest_ms).min(LONGEST_COUNTED) + KILL_AFTER;
-    std::thread::sleep(kill.saturating_sub(began.elapsed()));
-    play.proxy.kill();
 }
--- a/tests/proxy/soak/random.rs
+++ b/tests/proxy/soak/random.rs
@@ -3,11 +3,12 @@
 use rand_core::RngCore;
 use rand_pcg::Pcg32;
 
-pub fn below(dice: &mut Pcg32, end: u64) -> u64 {
-    u64::from(dice.next_u32()) % end
+/// A number from 0 to less than `end`.
+pub fn below(random: &mut Pcg32, end: u64) -> u64 {
+    u64::from(random.next_u32()) % end
 }
 
-/// One in so many.
-pub fn one_in(dice: &mut Pcg32, many: u64) -> bool {
-    below(dice, many) == 0
+/// True once in so many draws.
+pub fn one_in(random: &mut Pcg32, many: u64) -> bool {
+    below(random, many) == 0
 }
--- a/tests/proxy/soak/record.rs
+++ b/tests/proxy/soak/record.rs
@@ -1,4 +1,4 @@
-//! What is recorded of a run: requests, attempts and when backends drained.
+//! What is recorded of a run: requests, attempts, and when backends drained.
 
 use std::collections::HashMap;
 use std::sync::atomic::AtomicBool;
@@ -7,58 +7,80 @@
 
 /// What became of a request for its client.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum End {
-    Answered(u16, Instant),
-    /// It closed its connection.
-    Left(Instant),
+pub enum RequestOutcome {
+    Answered {
+        status: u16,
+        at: Instant,
+    },
+    /// The client closed its connection.
+    Disconnected {
+        at: Instant,
+    },
     /// The connection ended, or nothing came.
-    Nothing,
+    Unanswered,
 }
 
+/// A request as its client sent it.
 #[derive(Clone, Copy, Debug)]
-pub struct Asked {
+pub struct RequestRecord {
     pub class: &'static str,
     pub sent: Instant,
-    pub left: Duration,
-    pub end: End,
+    pub time_left: Duration,
+    pub outcome: RequestOutcome,
 }
 
 /// A request as it reached a backend.
 #[derive(Clone, Copy, Debug)]
-pub struct Attempt {
+pub struct AttemptRecord {
     pub at: Instant,
-    pub left: Duration,
+    pub time_left: Duration,
     pub backend: usize,
-    /// It was not turned away unseen.
+    /// It was not rejected unprocessed.
     pub may_have_run: bool,
 }
 
-/// What is written down in a play.
+/// When a backend was known to drain.
+#[derive(Clone, Copy, Debug)]
+pub struct DrainInterval {
+    pub backend: usize,
+    pub from: Instant,
+    /// `None` while it drains.
+    pub until: Option<Instant>,
+}
+
+/// All that is recorded of a run.
 #[derive(Default)]
-pub struct Record {
-    /// For so long after the first attempt a guarded request may be sent again.
-    pub window: Duration,
+pub struct RunRecord {
+    /// For so long after the first attempt a keyed request may be sent again.
+    pub idempotency_window: Duration,
     /// Every backend hangs from now on.
-    pub all_hang: AtomicBool,
-    pub asked: Mutex<HashMap<u64, Asked>>,
-    pub attempts: Mutex<HashMap<u64, Vec<Attempt>>>,
-    /// Since when each backend is known to drain, and until when that held.
-    pub drains: Mutex<Vec<(usize, Instant, Option<Instant>)>>,
+    pub all_backends_hang: AtomicBool,
+    pub requests: Mutex<HashMap<u64, RequestRecord>>,
+    pub attempts: Mutex<HashMap<u64, Vec<AttemptRecord>>>,
+    pub drains: Mutex<Vec<DrainInterval>>,
 }
 
-/// How much was played.
-pub fn summary(record: &Record) -> String {
-    let asked = record.asked.lock().unwrap();
-    let count = |which: &dyn Fn(End) -> bool| asked.values().filter(|a| which(a.end)).count();
-    let attempts: usize = record.attempts.lock().unwrap().values().map(Vec::len).sum();
-    format!(
-        "{} asked, {} served, {} refused, {} failed, {} left, {} without an answer, {attempts} attempts, {} drains",
-        asked.len(),
-        count(&|end| matches!(end, End::Answered(200, _))),
-        count(&|end| matches!(end, End::Answered(429 | 503, _))),
-        count(&|end| matches!(end, End::Answered(status, _) if !matches!(status, 200 | 429 | 503))),
-        count(&|end| matches!(end, End::Left(_))),
-        count(&|end| end == End::Nothing),
-        record.drains.lock().unwrap().len(),
-    )
+impl RunRecord {
+    /// How much was done in the run.
+    pub fn summary(&self) -> String {
+        let requests = self.requests.lock().unwrap();
+        let count = |matches: &dyn Fn(RequestOutcome) -> bool| {
+            requests.values().filter(|request| matches(request.outcome)).count()
+        };
+        let attempts: usize = self.attempts.lock().unwrap().values().map(Vec::len).sum();
+        format!(
+            "{} requests, {} served, {} rejected, {} failed, {} disconnected, {} unanswered, \
+             {attempts} attempts, {} drains",
+            requests.len(),
+            count(&|outcome| matches!(outcome, RequestOutcome::Answered { status: 200, .. })),
+            count(&|outcome| matches!(outcome, RequestOutcome::Answered { status: 429 | 503, .. })),
+            count(&|outcome| matches!(
+                outcome,
+                RequestOutcome::Answered { status, .. } if !matches!(status, 200 | 429 | 503)
+            )),
+            count(&|outcome| matches!(outcome, RequestOutcome::Disconnected { .. })),
+            count(&|outcome| outcome == RequestOutcome::Unanswered),
+            self.drains.lock().unwrap().len(),
+        )
+    }
 }
--- a/tests/proxy/support/backend.rs
+++ b/tests/proxy/support/backend.rs
@@ -1,57 +1,64 @@
-//! A backend on loopback whose answers a test chooses.
+//! A backend on loopback whose responses a test chooses.
 
-use crate::support::{read_message, Message, Reply};
+use super::{read_message, Message, Reply};
 use std::io::BufReader;
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::{Arc, Mutex};
 
+/// What a backend has seen of its clients.
 #[derive(Default)]
-struct Seen {
+struct Observed {
     requests: Mutex<Vec<Message>>,
-    opened: Mutex<usize>,
-    closed: Mutex<usize>,
+    opened_connections: Mutex<usize>,
+    closed_connections: Mutex<usize>,
 }
 
 /// A backend on a port of its own.
 pub struct Backend {
     pub address: SocketAddr,
-    seen: Arc<Seen>,
+    observed: Arc<Observed>,
 }
 
 impl Backend {
-    pub fn start(answer: impl Fn(&Message) -> Reply + Send + Sync + 'static) -> Backend {
+    /// Starts a backend that does with each request what `respond` says.
+    pub fn start(respond: impl Fn(&Message) -> Reply + Send + Sync + 'static) -> Backend {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let (seen, answer) = (Arc::new(Seen::default()), Arc::new(answer));
-        let all = seen.clone();
+        let (observed, respond) = (Arc::new(Observed::default()), Arc::new(respond));
+        let observed_by_all = observed.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
-                let (seen, answer) = (all.clone(), answer.clone());
-                std::thread::spawn(move || Backend::converse(stream, &seen, &*answer));
+                let (observed, respond) = (observed_by_all.clone(), respond.clone());
+                std::thread::spawn(move || Backend::serve_connection(stream, &observed, &*respond));
             }
         });
-        Backend { address, seen }
+        Backend { address, observed }
     }
 
-    fn converse(mut stream: TcpStream, seen: &Seen, answer: &dyn Fn(&Message) -> Reply) {
-        *seen.opened.lock().unwrap() += 1;
+    fn serve_connection(mut stream: TcpStream, observed: &Observed, respond: &dyn Fn(&Message) -> Reply) {
+        *observed.opened_connections.lock().unwrap() += 1;
         let mut reader = BufReader::new(stream.try_clone().unwrap());
         while let Some(message) = read_message(&mut reader) {
-            seen.requests.lock().unwrap().push(message.clone());
-            if !answer(&message).give(&mut stream) {
+            observed.requests.lock().unwrap().push(message.clone());
+            if !respond(&message).carry_out(&mut stream) {
                 break;
             }
         }
-        *seen.closed.lock().unwrap() += 1;
+        *observed.closed_connections.lock().unwrap() += 1;
     }
 
+    /// All requests so far.
     pub fn requests(&self) -> Vec<Message> {
-        self.seen.requests.lock().unwrap().clone()
+        self.observed.requests.lock().unwrap().clone()
     }
-    pub fn opened(&self) -> usize {
-        *self.seen.opened.lock().unwrap()
+
+    /// How many connections were opened so far.
+    pub fn opened_connections(&self) -> usize {
+        *self.observed.opened_connections.lock().unwrap()
     }
-    pub fn closed(&self) -> usize {
-        *self.seen.closed.lock().unwrap()
+
+    /// How many connections have ended so far.
+    pub fn closed_connections(&self) -> usize {
+        *self.observed.closed_connections.lock().unwrap()
     }
 }
--- a/tests/proxy/support/discovery.rs
+++ b/tests/proxy/support/discovery.rs
@@ -1,116 +1,139 @@
 //! Discovery on loopback: a test decides what a call is answered with.
 
-use crate::support::{ok, read_message, until, HeldPort, Reply};
+use super::{ok_response, read_message, wait_until, Reply, ReservedPort};
 use serde_json::{json, Value};
 use std::io::BufReader;
 use std::net::{SocketAddr, TcpStream};
 use std::sync::{Arc, Condvar, Mutex};
 use std::time::{Duration, Instant};
 
+/// How often a call that waits looks whether the proxy has closed it.
+const CLOSE_POLL_INTERVAL: Duration = Duration::from_millis(20);
+
 #[derive(Default)]
-struct News {
-    index: u64,
-    /// What it does with a call that waits, or with the next.
-    answer: Option<Reply>,
+struct State {
+    /// The version of the last list.
+    version: u64,
+    /// What is done with a call that waits, or with the next.
+    pending_reply: Option<Reply>,
     /// How many calls had come when that was done last.
-    told: usize,
+    calls_before_reply: usize,
 }
 
-/// Discovery: answers a call once there is news, or after its wait, or never.
+/// Discovery: answers a call once a test has a reply for it, or after the call's wait, or never.
 #[derive(Clone)]
 pub struct Discovery {
     pub address: SocketAddr,
-    news: Arc<(Mutex<News>, Condvar)>,
-    /// The first lines of all calls so far.
-    calls: Arc<Mutex<Vec<String>>>,
+    state: Arc<(Mutex<State>, Condvar)>,
+    request_lines: Arc<Mutex<Vec<String>>>,
 }
 
 impl Discovery {
     pub fn start() -> Discovery {
-        Discovery::start_on(HeldPort::bind())
+        Discovery::start_on(ReservedPort::bind())
     }
 
-    pub fn start_on(port: HeldPort) -> Discovery {
+    pub fn start_on(port: ReservedPort) -> Discovery {
         let listener = port.listen();
         let address = listener.local_addr().unwrap();
-        let discovery = Discovery { address, news: Arc::default(), calls: Arc::default() };
-        let all = discovery.clone();
+        let discovery = Discovery { address, state: Arc::default(), request_lines: Arc::default() };
+        let shared = discovery.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
-                let discovery = all.clone();
-                std::thread::spawn(move || discovery.converse(stream));
+                let discovery = shared.clone();
+                std::thread::spawn(move || discovery.serve_connection(stream));
             }
         });
         discovery
     }
 
-    fn converse(&self, mut stream: TcpStream) {
+    fn serve_connection(&self, mut stream: TcpStream) {
         let mut reader = BufReader::new(stream.try_clone().unwrap());
         while let Some(call) = read_message(&mut reader) {
-            let path = call.start.clone();
-            self.calls.lock().unwrap().push(call.start);
-            let answer = self.answer(&path, &stream);
-            if !answer.is_some_and(|a| a.give(&mut stream)) {
+            let request_line = call.start_line.clone();
+            self.request_lines.lock().unwrap().push(call.start_line);
+            let reply = self.reply_to(&request_line, &stream);
+            if !reply.is_some_and(|reply| reply.carry_out(&mut stream)) {
                 return;
             }
         }
     }
 
-    /// The news, or none once the call's wait is over; `None` where the proxy has given it up.
-    fn answer(&self, path: &str, stream: &TcpStream) -> Option<Reply> {
-        let number = |name: &str| -> Option<u64> {
-            let digits = path.split_once(name)?.1;
-            digits.split(|c: char| !c.is_ascii_digit()).next()?.parse().ok()
-        };
-        let end = number("wait_ms=").map(|wait| Instant::now() + Duration::from_millis(wait));
-        let mut news = self.news.0.lock().unwrap();
+    /// The reply of the test, or an empty delta once the call's wait is over; `None` where the proxy has
+    /// closed the connection.
+    fn reply_to(&self, request_line: &str, stream: &TcpStream) -> Option<Reply> {
+        let wait = query_number(request_line, "wait_ms=");
+        let end = wait.map(|wait_ms| Instant::now() + Duration::from_millis(wait_ms));
+        let mut state = self.state.0.lock().unwrap();
         loop {
-            stream.set_nonblocking(true).unwrap();
-            let given_up = matches!(stream.peek(&mut [0]), Ok(0));
-            stream.set_nonblocking(false).unwrap();
-            if given_up {
+            if is_closed_by_peer(stream) {
                 return None;
             }
-            if let Some(answer) = news.answer.take() {
-                news.told = self.calls();
-                return Some(answer);
+            if let Some(reply) = state.pending_reply.take() {
+                state.calls_before_reply = self.call_count();
+                return Some(reply);
             }
             if end.is_some_and(|end| Instant::now() >= end) {
-                let index = number("after=");
-                return Some(ok(&json!({"index": index, "snapshot": false, "endpoints": []}).to_string()));
+                let version = query_number(request_line, "after=");
+                let delta = json!({"index": version, "snapshot": false, "endpoints": []});
+                return Some(ok_response(&delta.to_string()));
             }
-            news = self.news.1.wait_timeout(news, Duration::from_millis(20)).unwrap().0;
+            state = self.state.1.wait_timeout(state, CLOSE_POLL_INTERVAL).unwrap().0;
         }
     }
 
-    /// Tells the whole list or changes, and waits until the proxy has asked again: it holds them then.
-    pub fn tell(&self, whole: bool, lines: &[Value]) {
-        let index = self.news.0.lock().unwrap().index + 1;
-        self.news.0.lock().unwrap().index = index;
-        self.say(&json!({"index": index, "snapshot": whole, "endpoints": lines}).to_string());
+    /// Sends a list of every endpoint, and waits until the proxy has called again: it holds the list then.
+    pub fn publish_snapshot(&self, endpoints: &[Value]) {
+        self.publish(true, endpoints);
+    }
+
+    /// Sends the endpoints that changed, and waits until the proxy has called again: it holds them then.
+    pub fn publish_delta(&self, endpoints: &[Value]) {
+        self.publish(false, endpoints);
+    }
+
+    fn publish(&self, is_snapshot: bool, endpoints: &[Value]) {
+        let version = self.state.0.lock().unwrap().version + 1;
+        self.state.0.lock().unwrap().version = version;
+        let list = json!({"index": version, "snapshot": is_snapshot, "endpoints": endpoints});
+        self.respond_with_body(&list.to_string());
     }
 
-    /// The same, word for word.
-    pub fn say(&self, body: &str) {
-        self.act(ok(body));
+    /// Answers a call with this body, and waits until the proxy has called again.
+    pub fn respond_with_body(&self, body: &str) {
+        self.respond(ok_response(body));
     }
 
-    /// Does that with a call, and waits until the proxy has asked again.
-    pub fn act(&self, reply: Reply) {
-        self.news.0.lock().unwrap().answer = Some(reply);
-        self.news.1.notify_all();
-        until("the next call of discovery", || {
-            let news = self.news.0.lock().unwrap();
-            news.answer.is_none() && self.calls() > news.told
+    /// Does this with a call, and waits until the proxy has called again.
+    pub fn respond(&self, reply: Reply) {
+        self.state.0.lock().unwrap().pending_reply = Some(reply);
+        self.state.1.notify_all();
+        wait_until("the next call of discovery", || {
+            let state = self.state.0.lock().unwrap();
+            state.pending_reply.is_none() && self.call_count() > state.calls_before_reply
         });
     }
 
-    pub fn calls(&self) -> usize {
-        self.asked().len()
+    /// How many calls have come so far.
+    pub fn call_count(&self) -> usize {
+        self.request_lines().len()
     }
 
-    /// The first lines of all calls so far.
-    pub fn asked(&self) -> Vec<String> {
-        self.calls.lock().unwrap().clone()
+    /// The request lines of all calls so far.
+    pub fn request_lines(&self) -> Vec<String> {
+        self.request_lines.lock().unwrap().clone()
     }
 }
+
+/// The number that follows `key` in a request line.
+fn query_number(request_line: &str, key: &str) -> Option<u64> {
+    let digits = request_line.split_once(key)?.1;
+    digits.split(|character: char| !character.is_ascii_digit()).next()?.parse().ok()
+}
+
+fn is_closed_by_peer(stream: &TcpStream) -> bool {
+    stream.set_nonblocking(true).unwrap();
+    let is_closed = matches!(stream.peek(&mut [0]), Ok(0));
+    stream.set_nonblocking(false).unwrap();
+    is_closed
+}
--- a/tests/proxy/support/faults.rs
+++ b/tests/proxy/support/faults.rs
@@ -1,4 +1,5 @@
-//! Faults of the machine around the proxy: system calls that fail for a moment, and a wall clock that is wrong or stepped.
+//! Faults of the machine around the proxy: system calls that fail for a moment, and a wall clock that is wrong
+//! or stepped.
 
 use std::os::unix::fs::FileExt;
 use std::path::{Path, PathBuf};
@@ -7,20 +8,17 @@
 use std::sync::OnceLock;
 
 /// Numbers the files that proxies share with their tests.
-static FILES: AtomicUsize = AtomicUsize::new(0);
+static FAULT_FILES: AtomicUsize = AtomicUsize::new(0);
 
 /// Offsets of the fields of `struct faults` in `faults.c`.
 const CLOCK_OFFSET: u64 = 0;
-
 const ACCEPT_PERCENT: u64 = 8;
-
 const CONNECT_PERCENT: u64 = 16;
-
 const RELOAD_PERCENT: u64 = 24;
-
+/// Size of `struct faults` in bytes.
 const SIZE: usize = 32;
 
-/// What goes wrong with the system calls of one proxy.
+/// What goes wrong with the system calls of one proxy, which shares this file with its test.
 pub struct Faults {
     path: PathBuf,
     file: std::fs::File,
@@ -29,7 +27,7 @@
 impl Faults {
     /// None so far.
     pub fn none() -> Faults {
-        let number = FILES.fetch_add(1, Ordering::Relaxed);
+        let number = FAULT_FILES.fetch_add(1, Ordering::Relaxed);
         let path = std::env::temp_dir().join(format!("faults-{}-{number}", std::process::id()));
         std::fs::write(&path, [0; SIZE]).unwrap();
         let file = std::fs::File::options().write(true).open(&path).unwrap();
@@ -40,7 +38,7 @@
         self.file.write_all_at(&value.to_ne_bytes(), offset).unwrap();
     }
 
-    /// The wall clock tells that much more than the right time.
+    /// The wall clock shows that much more than the right time.
     pub fn step_clock(&self, seconds: i64) {
         self.set(CLOCK_OFFSET, seconds * 1_000_000);
     }
@@ -50,17 +48,17 @@
         self.set(ACCEPT_PERCENT, percent);
     }
 
-    /// So many in a hundred of the calls of socket and of connect fail for want of means of this machine.
+    /// So many in a hundred of the calls of socket and of connect fail because resources of this machine are exhausted.
     pub fn fail_connects(&self, percent: i64) {
         self.set(CONNECT_PERCENT, percent);
     }
 
-    /// So many in a hundred of the threads and of the reads of the configuration cannot be begun.
+    /// So many in a hundred of the starts of threads and of the reads of the configuration fail.
     pub fn fail_reloads(&self, percent: i64) {
         self.set(RELOAD_PERCENT, percent);
     }
 
-    /// The environment of a proxy that meets them.
+    /// The environment variables of a proxy that meets them.
     pub fn environment(&self) -> [(&'static str, &Path); 2] {
         [("FAULTS", &self.path), ("LD_PRELOAD", preloaded())]
     }
--- a/tests/proxy/support/mod.rs
+++ b/tests/proxy/support/mod.rs
@@ -12,12 +12,14 @@
 mod waiting;
 
 pub use backend::Backend;
-pub use client::{ask, warm_up, Client};
+pub use client::{send_request, warm_up, Client};
 pub use discovery::Discovery;
 pub use faults::Faults;
-pub use http::{ok, read_message, request, Message, Reply};
-pub use proxy_process::{proxy_for, Proxy};
-pub use reserved_port::{refusing_address, HeldPort};
-pub use settings::{changed, config, line, patient, settings};
-pub use slow_accept_backend::Late;
-pub use waiting::{until, LONG};
+pub use http::{ok_response, read_message, request, Message, Reply};
+pub use proxy_process::{proxy_for, ProxyProcess};
+pub use reserved_port::{refusing_address, ReservedPort};
+pub use settings::{
+    config, config_with_long_connect_timeout, endpoint, ready_endpoints, settings, with_value,
+};
+pub use slow_accept_backend::SlowAcceptBackend;
+pub use waiting::{wait_until, FAILURE_TIMEOUT};
--- a/tests/proxy/support/reserved_port.rs
+++ b/tests/proxy/support/reserved_port.rs
@@ -3,18 +3,21 @@
 use std::net::{SocketAddr, TcpListener};
 use std::sync::OnceLock;
 
+/// Connections that a stand-in leaves to the system before it accepts them.
+const LISTEN_QUEUE: i32 = 128;
+
 /// A port that refuses connections: bound, so that nobody else is given it, and not listening yet.
-pub struct HeldPort {
+pub struct ReservedPort {
     socket: socket2::Socket,
     pub address: SocketAddr,
 }
 
-impl HeldPort {
-    pub fn bind() -> HeldPort {
+impl ReservedPort {
+    pub fn bind() -> ReservedPort {
         let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
         socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
         let address = socket.local_addr().unwrap().as_socket().unwrap();
-        HeldPort { socket, address }
+        ReservedPort { socket, address }
     }
 
     /// Takes connections from now on.
@@ -24,11 +27,8 @@
     }
 }
 
-/// Connections that a stand-in leaves to the system before it accepts them.
-const LISTEN_QUEUE: i32 = 128;
-
 /// An address at which nobody listens while the tests run.
 pub fn refusing_address() -> SocketAddr {
-    static REFUSING: OnceLock<HeldPort> = OnceLock::new();
-    REFUSING.get_or_init(HeldPort::bind).address
+    static REFUSING: OnceLock<ReservedPort> = OnceLock::new();
+    REFUSING.get_or_init(ReservedPort::bind).address
 }
--- a/tests/proxy/support/slow_accept_backend.rs
+++ b/tests/proxy/support/slow_accept_backend.rs
@@ -4,33 +4,34 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::Duration;
 
-/// A backend whose connections come up late: they wait in a full queue until its listener accepts.
-pub struct Late {
+/// Connections wait in a full queue until its listener accepts.
+pub struct SlowAcceptBackend {
     listener: TcpListener,
     pub address: SocketAddr,
     queued: Vec<TcpStream>,
 }
 
-impl Late {
-    pub fn start() -> Late {
+impl SlowAcceptBackend {
+    /// Listens, and fills its queue with connections of its own.
+    pub fn start() -> SlowAcceptBackend {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let brief = Duration::from_millis(300);
-        let queued =
-            std::iter::from_fn(|| TcpStream::connect_timeout(&address, brief).ok()).take(10_000).collect();
-        Late { listener, address, queued }
+        let connect_timeout = Duration::from_millis(300);
+        let connect = || TcpStream::connect_timeout(&address, connect_timeout).ok();
+        let queued = std::iter::from_fn(connect).take(10_000).collect();
+        SlowAcceptBackend { listener, address, queued }
     }
 
-    /// Lets them come up; afterwards tells how many bytes came on all of them.
+    /// Lets the connections come up; the function that it returns gives how many bytes came on all of them.
     pub fn accept(self) -> impl FnOnce() -> usize {
-        let Late { listener, address, queued } = self;
+        let SlowAcceptBackend { listener, address, queued } = self;
         drop(queued);
         let bytes = std::thread::spawn(move || {
             let (mut bytes, mut buffer) = (0, [0; 64]);
             for mut stream in listener.incoming().map_while(Result::ok) {
                 match stream.read(&mut buffer) {
-                    Ok(n) if buffer.starts_with(b"done") => return bytes + n - 4,
-                    Ok(n) => bytes += n,
+                    Ok(length) if buffer.starts_with(b"done") => return bytes + length - 4,
+                    Ok(length) => bytes += length,
                     Err(_) => {}
                 }
             }
--- a/tests/proxy/support/waiting.rs
+++ b/tests/proxy/support/waiting.rs
@@ -3,13 +3,16 @@
 use std::time::{Duration, Instant};
 
 /// Far longer than anything here takes; only a failure waits so long.
-pub const LONG: Duration = Duration::from_secs(30);
+pub const FAILURE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Waits for a condition.
-pub fn until(what: &str, mut holds: impl FnMut() -> bool) {
-    let end = Instant::now() + LONG;
+/// Between two looks at a condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+
+/// Waits until a condition holds; panics after [`FAILURE_TIMEOUT`].
+pub fn wait_until(description: &str, mut holds: impl FnMut() -> bool) {
+    let end = Instant::now() + FAILURE_TIMEOUT;
     while !holds() {
-        assert!(Instant::now() < end, "never came: {what}");
-        std::thread::sleep(Duration::from_millis(5));
+        assert!(Instant::now() < end, "never came: {description}");
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
--- a/tests/proxy/unframed_responses.rs
+++ b/tests/proxy/unframed_responses.rs
@@ -1,17 +1,17 @@
-//! Answers without a length: only the end of their connection tells where they end.
+//! Responses without a length, whose end is that of their connection.
 
 use crate::support::{
-    ask, config, line, ok, proxy_for, read_message, request, warm_up, Backend, Discovery, Message, Proxy,
-    Reply,
+    config, endpoint, ok_response, proxy_for, read_message, request, send_request, warm_up, Backend,
+    Discovery, Message, ProxyProcess, Reply,
 };
 use std::io::Write;
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::Duration;
 
-/// How a backend ends an answer without a length.
+/// How a backend ends a response without a length.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum End {
-    /// It closes properly.
+enum ConnectionEnd {
+    /// It closes the connection.
     Close,
     /// It closes its sending side alone.
     HalfClose,
@@ -19,37 +19,37 @@
     Reset(Duration),
 }
 
-/// A backend whose answers to POSTs have no length; others are served as usual.
-fn unframed(head: &'static str, end: End) -> SocketAddr {
+/// A backend whose responses to POST requests have no length.
+fn start_unframed_backend(head: &'static str, end: ConnectionEnd) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     std::thread::spawn(move || {
         for stream in listener.incoming().map_while(Result::ok) {
-            std::thread::spawn(move || converse(stream, head, end));
+            std::thread::spawn(move || serve_connection(stream, head, end));
         }
     });
     address
 }
 
-fn converse(mut stream: TcpStream, head: &str, end: End) {
+fn serve_connection(mut stream: TcpStream, head: &str, end: ConnectionEnd) {
     let mut reader = std::io::BufReader::new(stream.try_clone().unwrap());
     while let Some(message) = read_message(&mut reader) {
-        if message.start.starts_with("GET") {
+        if message.start_line.starts_with("GET") {
             stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx").unwrap();
             continue;
         }
-        // In two pieces: the end may come long after the beginning.
+        // In two parts: the end may come long after the beginning.
         let _ = stream.write_all(format!("{head}\r\n\r\nno ").as_bytes());
         std::thread::sleep(Duration::from_millis(20));
         let _ = stream.write_all(b"length");
         match end {
-            End::Close => return,
-            End::HalfClose => {
+            ConnectionEnd::Close => return,
+            ConnectionEnd::HalfClose => {
                 let _ = stream.shutdown(std::net::Shutdown::Write);
                 let _ = read_message(&mut reader);
                 return;
             }
-            End::Reset(after) => {
+            ConnectionEnd::Reset(after) => {
                 std::thread::sleep(after);
                 let socket = socket2::SockRef::from(&stream);
                 socket.set_linger(Some(Duration::ZERO)).unwrap();
@@ -59,26 +59,26 @@
     }
 }
 
-/// The answer to one request of each unsafe class, after enough of others that the module has retries to spend.
-fn answers(head: &'static str, end: End) -> Vec<Message> {
-    let backend = unframed(head, end);
+/// The responses to one request of each class that may not simply be repeated, after a warm-up.
+fn responses(head: &'static str, end: ConnectionEnd) -> Vec<Message> {
+    let backend = start_unframed_backend(head, end);
     let discovery = Discovery::start();
-    let proxy = Proxy::start(&config(discovery.address, &[line("a", backend, "ready", 0)]));
+    let proxy = ProxyProcess::start(&config(discovery.address, &[endpoint("a", backend, "ready", 0)]));
     warm_up(&proxy);
-    ["pay", "vote"].map(|class| ask(&proxy, &request(class, 3000))).into()
+    ["pay", "vote"].map(|class| send_request(&proxy, &request(class, 3000))).into()
 }
 
 const HEADS: [&str; 3] =
     ["HTTP/1.1 200 OK", "HTTP/1.1 200 OK\r\nConnection: close", "HTTP/1.0 200 OK\r\nX-Other: 1"];
 
-/// They all became failures, though their requests had run and may not be repeated.
+/// Guards against whole responses without a length that pass for failures.
 #[test]
 fn an_answer_without_a_length_that_ends_properly_is_served() {
     for head in HEADS {
-        for end in [End::Close, End::HalfClose] {
-            for answer in answers(head, end) {
+        for end in [ConnectionEnd::Close, ConnectionEnd::HalfClose] {
+            for response in responses(head, end) {
                 assert_eq!(
-                    (answer.status(), &answer.body[..]),
+                    (response.status(), &response.body[..]),
                     (200, &b"no length"[..]),
                     "{head:?}, {end:?}"
                 );
@@ -87,42 +87,42 @@
     }
 }
 
-/// A reset is no end, however long after the last byte it comes.
+/// Guards against a reset that passes for the end of a response, however long after the last byte it comes.
 #[test]
 fn an_answer_without_a_length_that_is_reset_is_not_served() {
     for head in HEADS {
         for after in [Duration::ZERO, Duration::from_millis(30)] {
-            for answer in answers(head, End::Reset(after)) {
-                assert_ne!(answer.status(), 200, "{head:?}, {after:?}");
+            for response in responses(head, ConnectionEnd::Reset(after)) {
+                assert_ne!(response.status(), 200, "{head:?}, {after:?}");
             }
         }
     }
 }
 
-/// Another transfer coding than chunked says that the body is not the one to pass on.
+/// Guards against a body that is passed on in a transfer coding that was not undone.
 #[test]
 fn an_answer_with_an_unknown_transfer_coding_is_not_served() {
     for head in
         ["HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip", "HTTP/1.1 200 OK\r\nTransfer-Encoding: identity"]
     {
-        for answer in answers(head, End::Close) {
-            assert_ne!(answer.status(), 200, "{head:?}");
+        for response in responses(head, ConnectionEnd::Close) {
+            assert_ne!(response.status(), 200, "{head:?}");
         }
     }
 }
 
-/// The longest body and one that is over it: what is left unread makes no whole answer.
+/// Guards against a response over the longest body that is cut and served.
 #[test]
 fn an_answer_without_a_length_is_served_up_to_the_longest_body() {
     for (length, status) in [(64 << 10, 200), ((64 << 10) + 1, 502)] {
-        let backend = Backend::start(move |m| match m.start.starts_with("POST") {
-            true => Reply::SayAndClose(format!("HTTP/1.1 200 OK\r\n\r\n{}", "x".repeat(length))),
-            false => ok("x"),
+        let backend = Backend::start(move |message| match message.start_line.starts_with("POST") {
+            true => Reply::SendAndClose(format!("HTTP/1.1 200 OK\r\n\r\n{}", "x".repeat(length))),
+            false => ok_response("x"),
         });
         let (proxy, _discovery) = proxy_for(&[("a", &backend)]);
         warm_up(&proxy);
-        let answer = ask(&proxy, &request("pay", 3000));
-        assert_eq!(answer.status(), status, "{length}");
-        assert!(status != 200 || answer.body.len() == length);
+        let response = send_request(&proxy, &request("pay", 3000));
+        assert_eq!(response.status(), status, "{length}");
+        assert!(status != 200 || response.body.len() == length);
     }
 }
--- a/tests/proxy/wall_clock.rs
+++ b/tests/proxy/wall_clock.rs
@@ -1,121 +1,128 @@
-//! The wall clock of the machine may be wrong before the start, and stepped at any time: what is a span of real time
-//! stays one.
+//! The wall clock of the machine may be wrong at the start, and stepped at any time: spans of time stay right.
 
-use crate::support::{changed, config, line, ok, request, until, Backend, Client, Discovery, Faults, Proxy};
+use crate::support::{
+    config, endpoint, ok_response, request, wait_until, with_value, Backend, Client, Discovery, Faults,
+    ProxyProcess,
+};
 use serde_json::{json, Value};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 const HOUR: i64 = 3600;
 
 /// Unix milliseconds of so long ago, by the right clock.
-fn since(ago: Duration) -> u64 {
+fn unix_ms_before_now(ago: Duration) -> u64 {
     (SystemTime::now().duration_since(UNIX_EPOCH).unwrap() - ago).as_millis() as u64
 }
 
-/// The part of the requests of two seconds that goes to a backend.
-fn part_sent_to(proxy: &Proxy, cold: &Backend) -> f64 {
-    let (began, before) = (Instant::now(), cold.requests().len());
+/// The share of the requests of two seconds that goes to a backend.
+fn share_sent_to(proxy: &ProxyProcess, backend: &Backend) -> f64 {
+    let (began, before) = (Instant::now(), backend.requests().len());
     let mut sent = 0;
     let mut client = Client::open(proxy.address);
     while began.elapsed() < Duration::from_secs(2) {
         client.send(&request("read", 7000));
-        assert!(client.answer().is_some());
+        assert!(client.read_response().is_some());
         sent += 1;
         std::thread::sleep(Duration::from_millis(5));
     }
-    (cold.requests().len() - before) as f64 / f64::from(sent)
+    (backend.requests().len() - before) as f64 / f64::from(sent)
 }
 
-/// Three warm backends, and one that is told of.
+/// Three warm backends, and one that has just started.
 struct Fleet {
     warm: Vec<Backend>,
-    cold: Backend,
+    warming: Backend,
     discovery: Discovery,
 }
 
 impl Fleet {
     fn start() -> Fleet {
-        let backend = || Backend::start(|_| ok("x"));
-        Fleet { warm: (0..3).map(|_| backend()).collect(), cold: backend(), discovery: Discovery::start() }
+        let backend = || Backend::start(|_| ok_response("x"));
+        Fleet { warm: (0..3).map(|_| backend()).collect(), warming: backend(), discovery: Discovery::start() }
     }
 
-    fn warm_lines(&self, since_ms: u64) -> Vec<Value> {
-        let line = |(n, b): (usize, &Backend)| line(&format!("s{n}"), b.address, "ready", since_ms);
-        self.warm.iter().enumerate().map(line).collect()
+    fn warm_endpoints(&self, started_at_ms: u64) -> Vec<Value> {
+        let endpoint_of = |(number, backend): (usize, &Backend)| {
+            endpoint(&format!("s{number}"), backend.address, "ready", started_at_ms)
+        };
+        self.warm.iter().enumerate().map(endpoint_of).collect()
     }
 
-    fn cold_line(&self, since_ms: u64) -> Value {
-        line("cold", self.cold.address, "ready", since_ms)
+    fn warming_endpoint(&self, started_at_ms: u64) -> Value {
+        endpoint("cold", self.warming.address, "ready", started_at_ms)
     }
 
-    fn config(&self, known: &[Value]) -> Value {
-        let config = config(self.discovery.address, known);
-        let config = changed(&config, "/settings/rules/ramp_time_us", json!(24_000_000));
-        changed(&config, "/settings/rules/cold_from", json!(0.13))
+    fn config(&self, cached: &[Value]) -> Value {
+        let config = config(self.discovery.address, cached);
+        let config = with_value(&config, "/settings/rules/ramp_time_us", json!(24_000_000));
+        with_value(&config, "/settings/rules/cold_from", json!(0.13))
     }
 }
 
-/// An even part is a quarter. With the right clock it is about one in forty.
-const COLD_PART: f64 = 0.1;
+/// An even share is a quarter; with the right clock a warming backend gets about one in forty.
+const WARMING_SHARE_LIMIT: f64 = 0.1;
 
 /// The offsets of a clock that is right, a little wrong and much.
 const OFFSETS: [i64; 5] = [0, 15, -15, HOUR, -HOUR];
 
-/// It was sent an even part from its first moment by a proxy whose clock was ahead.
+/// Guards against an even share from the first moment where the proxy's clock is ahead.
 #[test]
 fn a_backend_that_joins_is_cold_whatever_the_wall_clock_says() {
-    for whole in [false, true] {
+    for is_snapshot in [false, true] {
         for offset in OFFSETS {
             let (fleet, faults) = (Fleet::start(), Faults::none());
             faults.step_clock(offset);
-            let proxy = Proxy::spawn_among(&faults, &fleet.config(&fleet.warm_lines(0)));
-            until("ready", || proxy.ready() == 200);
-            part_sent_to(&proxy, &fleet.cold);
-            let mut lines = if whole { fleet.warm_lines(0) } else { Vec::new() };
-            lines.push(fleet.cold_line(since(Duration::from_millis(500))));
-            fleet.discovery.tell(whole, &lines);
-            let part = part_sent_to(&proxy, &fleet.cold);
-            assert!(part < COLD_PART, "{part}, clock off by {offset} s, whole list: {whole}");
+            let proxy = ProxyProcess::spawn_with_faults(&faults, &fleet.config(&fleet.warm_endpoints(0)));
+            wait_until("ready", || proxy.readiness_status() == 200);
+            share_sent_to(&proxy, &fleet.warming);
+            let mut endpoints = if is_snapshot { fleet.warm_endpoints(0) } else { Vec::new() };
+            endpoints.push(fleet.warming_endpoint(unix_ms_before_now(Duration::from_millis(500))));
+            if is_snapshot {
+                fleet.discovery.publish_snapshot(&endpoints);
+            } else {
+                fleet.discovery.publish_delta(&endpoints);
+            }
+            let share = share_sent_to(&proxy, &fleet.warming);
+            assert!(share < WARMING_SHARE_LIMIT, "{share}, clock off by {offset} s, snapshot: {is_snapshot}");
         }
     }
 }
 
-/// A restarted proxy, with a list from before that lacks the backend, or names it in the middle of its ramp, or names
-/// the process that ran there before.
+/// Guards against a cached list that lacks the warming backend, names it, or names its process before.
 #[test]
 fn a_backend_that_started_around_the_restart_of_its_proxy_is_cold() {
     for offset in OFFSETS {
-        for known in ["lacking", "named", "its process before"] {
+        for cached in ["lacking", "named", "its process before"] {
             let (fleet, faults) = (Fleet::start(), Faults::none());
             faults.step_clock(offset);
-            let started = since(Duration::from_millis(500));
-            let mut lines = fleet.warm_lines(0);
-            lines.push(fleet.cold_line(started));
-            let before = match known {
-                "lacking" => fleet.warm_lines(0),
-                "named" => lines.clone(),
-                _ => [fleet.warm_lines(0), vec![fleet.cold_line(1)]].concat(),
+            let started = unix_ms_before_now(Duration::from_millis(500));
+            let mut endpoints = fleet.warm_endpoints(0);
+            endpoints.push(fleet.warming_endpoint(started));
+            let cached_endpoints = match cached {
+                "lacking" => fleet.warm_endpoints(0),
+                "named" => endpoints.clone(),
+                _ => [fleet.warm_endpoints(0), vec![fleet.warming_endpoint(1)]].concat(),
             };
-            let proxy = Proxy::spawn_among(&faults, &fleet.config(&before));
-            fleet.discovery.tell(true, &lines);
-            let part = part_sent_to(&proxy, &fleet.cold);
-            assert!(part < COLD_PART, "{part}, clock off by {offset} s, known: {known}");
+            let proxy = ProxyProcess::spawn_with_faults(&faults, &fleet.config(&cached_endpoints));
+            fleet.discovery.publish_snapshot(&endpoints);
+            let share = share_sent_to(&proxy, &fleet.warming);
+            assert!(share < WARMING_SHARE_LIMIT, "{share}, clock off by {offset} s, cached: {cached}");
         }
     }
 }
 
-/// What has run since long before the others started is warm, also where the clock says that it starts only later.
+/// Guards against a start in the future by the proxy's clock that passes for a recent one.
 #[test]
 fn a_backend_that_started_long_ago_is_warm_whatever_the_wall_clock_says() {
     for offset in OFFSETS {
         let (fleet, faults) = (Fleet::start(), Faults::none());
         faults.step_clock(offset);
-        let mut lines = fleet.warm_lines(since(Duration::from_secs(600)));
-        lines.push(fleet.cold_line(since(Duration::from_secs(60))));
-        let proxy = Proxy::spawn_among(&faults, &fleet.config(&lines));
-        until("ready", || proxy.ready() == 200);
-        let part = part_sent_to(&proxy, &fleet.cold);
-        let refused = proxy.log().matches("request ended outcome=rejected ").count();
-        assert!(refused < 10, "{refused} refused, {part} to the last started, clock off by {offset} s");
+        let mut endpoints = fleet.warm_endpoints(unix_ms_before_now(Duration::from_secs(600)));
+        endpoints.push(fleet.warming_endpoint(unix_ms_before_now(Duration::from_secs(60))));
+        let proxy = ProxyProcess::spawn_with_faults(&faults, &fleet.config(&endpoints));
+        wait_until("ready", || proxy.readiness_status() == 200);
+        let share = share_sent_to(&proxy, &fleet.warming);
+        let rejected = proxy.count_in_log("request ended outcome=rejected ");
+        assert!(rejected < 10, "{rejected} rejected, {share} to the last started, clock off by {offset} s");
     }
 }
