--- a/tests/balancer/fleet_growth.rs
+++ b/tests/balancer/fleet_growth.rs
@@ -1,99 +1,117 @@
-//! What a proxy needs in a fleet three times as large before sixteen times the backends, beside what it needs in its own.
-//! The traffic of a proxy stays the same. Modules alone, with a pool of connections as the proxy keeps it.
+//! What a proxy needs in a fleet three times as large with sixteen times the backends, beside what it needs in its own.
+//! The traffic of a proxy stays the same. Balancers alone, with a pool of connections as the proxy keeps it.
 
 use crate::support::{backend, Host};
-use load_balancer::{Backend, BackendState, Config, EndpointListUpdate, Micros, Outcome};
+use load_balancer::{Backend, BackendState, Config, EndpointListUpdate, Micros, Outcome, RequestId};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 use std::cmp::Reverse;
 use std::collections::HashMap;
 
-/// Two arrivals of a proxy are so far apart on average, and a request takes so long, both by chance.
-const ARRIVALS: f64 = 16_667.0;
+/// The mean time between two requests of a proxy, in µs.
+const MEAN_INTERVAL_US: f64 = 16_667.0;
+/// The mean time that a request takes, in µs.
+const MEAN_SERVICE_US: f64 = 45_000.0;
 
-const SERVICE: f64 = 45_000.0;
+/// An idle connection is closed after this, in µs.
+const IDLE_TIMEOUT_US: u64 = 5_000_000;
 
-/// An idle connection is closed after this.
-const IDLE: u64 = 5_000_000;
-
-/// In this time half of the backends are replaced.
-const RELEASE: u64 = 25_000_000;
+/// In this time half of the backends are replaced, in µs.
+const RELEASE_US: u64 = 25_000_000;
 
 const KINDS: u32 = 2;
 
 /// How large a fleet is.
 #[derive(Clone, Copy, Debug)]
-struct Size {
+struct FleetSize {
     proxies: u32,
     backends: u32,
 }
 
-const USUAL: Size = Size { proxies: 300, backends: 200 };
+const USUAL: FleetSize = FleetSize { proxies: 300, backends: 200 };
 
-const LARGE: Size = Size { proxies: 900, backends: 3200 };
+const LARGE: FleetSize = FleetSize { proxies: 900, backends: 3200 };
 
-/// The connections of one proxy: until when the last request on each is out.
+/// The connections of one proxy.
 #[derive(Default)]
 struct Pool {
+    /// When the last request on each connection to a backend ends.
     connections: HashMap<u32, Vec<u64>>,
-    made: u32,
-    most: usize,
+    opened: u32,
+    most_open: usize,
 }
 
 impl Pool {
-    /// On the connection that was used last of those that are free, else on a new one.
-    fn send(&mut self, to: u32, now: u64, until: u64) {
-        self.connections.values_mut().for_each(|c| c.retain(|free| now.saturating_sub(*free) < IDLE));
-        let own = self.connections.entry(to).or_default();
-        match own.iter_mut().filter(|free| **free <= now).max() {
-            Some(free) => *free = until,
+    /// Sends a request on the connection that was used last of those that are free, else on a new one.
+    fn send(&mut self, backend: u32, now: u64, end: u64) {
+        for connections in self.connections.values_mut() {
+            connections.retain(|last_end| now.saturating_sub(*last_end) < IDLE_TIMEOUT_US);
+        }
+        let connections = self.connections.entry(backend).or_default();
+        match connections.iter_mut().filter(|last_end| **last_end <= now).max() {
+            Some(last_end) => *last_end = end,
             None => {
-                own.push(until);
-                self.made += 1;
+                connections.push(end);
+                self.opened += 1;
             }
         }
-        self.most = self.most.max(self.connections.values().map(Vec::len).sum());
+        self.most_open = self.most_open.max(self.connections.values().map(Vec::len).sum());
     }
 }
 
-/// A time by chance, exponential with this mean.
-fn chance(dice: &mut Pcg32, mean: f64) -> u64 {
-    let unit = (f64::from(dice.next_u32()) + 0.5) / 4_294_967_296.0;
+/// A random time, exponential with this mean.
+fn random_time(random: &mut Pcg32, mean: f64) -> u64 {
+    let unit = (f64::from(random.next_u32()) + 0.5) / 4_294_967_296.0;
     (-unit.ln() * mean) as u64
 }
 
-/// Replaces the backends from `first` on, as one message of the list.
-fn replace(host: &mut Host, pool: &mut Pool, size: Size, numbers: std::ops::Range<u32>) {
-    let mut changes = Vec::new();
+/// Replaces these backends in one delta.
+fn replace(host: &mut Host, pool: &mut Pool, size: FleetSize, numbers: std::ops::Range<u32>) {
+    let mut delta = Vec::new();
     for number in numbers {
-        // Ids tell nothing of age: the new ones lie anywhere among the old.
+        // The order of ids is not that of age.
         let (old, new) = (id_of(number), id_of(size.backends + number));
         pool.connections.remove(&old);
-        changes.push(Backend { state: BackendState::Removed, ..backend(old, 0, number % KINDS) });
-        changes.push(Backend { started_at: Some(host.now), ..backend(new, 0, number % KINDS) });
+        delta.push(Backend { state: BackendState::Removed, ..backend(old, 0, number % KINDS) });
+        delta.push(Backend { started_at: Some(host.now), ..backend(new, 0, number % KINDS) });
     }
-    host.members(EndpointListUpdate::Delta, changes);
+    host.update_endpoints(EndpointListUpdate::Delta, delta);
 }
 
-/// A number without any order.
+/// The id of a backend: ids are not in order.
 fn id_of(number: u32) -> u32 {
     number.wrapping_mul(2_654_435_761)
 }
 
-/// Connections that one proxy makes in a release, after the first that it has from before, and the most it holds.
-fn play(size: Size, position: u32, steps: u32) -> (u32, usize) {
-    let cfg = Config { proxy_count: size.proxies, proxy_index: position, ..Config::example() };
-    let mut host = Host::new(cfg, u64::from(position) + 1);
-    host.members(
+/// A request in flight, and when it ends.
+struct InFlight {
+    end: u64,
+    id: RequestId,
+}
+
+/// What one proxy needs during a release.
+#[derive(Clone, Copy, Debug)]
+struct ConnectionUse {
+    /// Connections opened.
+    opened: f64,
+    /// The most that were open at once.
+    most_open: f64,
+}
+
+/// The connections of one proxy while half of the backends are replaced in so many steps.
+fn run_release(size: FleetSize, proxy_index: u32, steps: u32) -> ConnectionUse {
+    let config = Config { proxy_count: size.proxies, proxy_index, ..Config::example() };
+    let mut host = Host::new(config, u64::from(proxy_index) + 1);
+    host.update_endpoints(
         EndpointListUpdate::Snapshot,
-        (0..size.backends).map(|n| backend(id_of(n), 0, n % KINDS)).collect(),
+        (0..size.backends).map(|number| backend(id_of(number), 0, number % KINDS)).collect(),
     );
-    let (mut pool, mut ends) = (Pool::default(), Vec::new());
-    let mut dice = Pcg32::seed_from_u64(u64::from(position));
+    let (mut pool, mut in_flight) = (Pool::default(), Vec::new());
+    let mut random = Pcg32::seed_from_u64(u64::from(proxy_index));
     let (start, mut replaced) = (host.now, 0);
     let begin = start + Micros(5_000_000);
-    while host.now < begin + Micros(RELEASE) {
-        let step = ((host.now - begin).0 * u64::from(steps) / RELEASE) as u32;
+    while host.now < begin + Micros(RELEASE_US) {
+        let step = ((host.now - begin).0 * u64::from(steps) / RELEASE_US) as u32;
         let due = if host.now < begin { 0 } else { size.backends / 2 * (step + 1) / steps };
         if due > replaced {
             replace(&mut host, &mut pool, size, replaced..due);
@@ -101,39 +119,43 @@
         }
         let id = host.arrive(0, 400_000);
         let now = host.now.0;
-        for to in host.sent_to(id) {
-            ends.push((now + chance(&mut dice, SERVICE), id));
-            pool.send(to, now, now + ends.last().map_or(0, |e| e.0 - now));
+        for backend in host.dispatched_to(id) {
+            let end = now + random_time(&mut random, MEAN_SERVICE_US);
+            in_flight.push(InFlight { end, id });
+            pool.send(backend, now, end);
         }
-        let next = now + chance(&mut dice, ARRIVALS);
-        ends.sort_by_key(|e| Reverse(e.0));
-        while ends.last().is_some_and(|e| e.0 <= next) {
-            let Some((at, id)) = ends.pop() else { break };
-            host.advance(at.saturating_sub(host.now.0));
+        let next = now + random_time(&mut random, MEAN_INTERVAL_US);
+        in_flight.sort_by_key(|request| Reverse(request.end));
+        while in_flight.last().is_some_and(|request| request.end <= next) {
+            let Some(InFlight { end, id }) = in_flight.pop() else { break };
+            host.advance(end.saturating_sub(host.now.0));
             host.end(id, 0, Outcome::Success);
         }
         host.advance(next.saturating_sub(host.now.0));
-        host.requests.retain(|_, r| r.answer.is_none());
+        host.requests.retain(|_, request| request.answer.is_none());
     }
-    (pool.made, pool.most)
+    ConnectionUse { opened: f64::from(pool.opened), most_open: pool.most_open as f64 }
 }
 
 /// The mean over some proxies.
-fn mean(size: Size, steps: u32) -> (f64, f64) {
-    let positions = [1, 17, 60, 123, 200, 271];
-    let played = positions.map(|position| play(size, position, steps));
-    let count = positions.len() as f64;
-    let sum = played.iter().fold((0, 0), |sum, p| (sum.0 + p.0, sum.1 + p.1));
-    (f64::from(sum.0) / count, sum.1 as f64 / count)
+fn mean(size: FleetSize, steps: u32) -> ConnectionUse {
+    let proxy_indexes = [1, 17, 60, 123, 200, 271];
+    let uses = proxy_indexes.map(|proxy_index| run_release(size, proxy_index, steps));
+    let count = uses.len() as f64;
+    ConnectionUse {
+        opened: uses.iter().map(|used| used.opened).sum::<f64>() / count,
+        most_open: uses.iter().map(|used| used.most_open).sum::<f64>() / count,
+    }
 }
 
+/// Guards against connections that grow with the fleet until they fill the tables of the backends.
 #[test]
 fn connections_made_and_held_grow_only_so_far_with_the_fleet() {
     for steps in [10, 90] {
         let (usual, large) = (mean(USUAL, steps), mean(LARGE, steps));
-        println!("{steps} steps, made and held: {usual:?} at the usual size, {large:?} at the large one");
-        // The operators allow 40 more: those are for what else makes connections, which is not played here.
-        assert!(large.0 <= 2.5 * usual.0, "{steps} steps: {large:?} made beside {usual:?}");
-        assert!(large.1 <= 2.0 * usual.1 + 40.0, "{steps} steps: {large:?} held beside {usual:?}");
+        println!("{steps} steps: {usual:?} at the usual size, {large:?} at the large one");
+        // The operators allow 40 more, for connections that are not simulated here.
+        assert!(large.opened <= 2.5 * usual.opened, "{steps} steps: {large:?} beside {usual:?}");
+        assert!(large.most_open <= 2.0 * usual.most_open + 40.0, "{steps} steps: {large:?} beside {usual:?}");
     }
 }
--- a/tests/balancer/fleet_slow_start.rs
+++ b/tests/balancer/fleet_slow_start.rs
@@ -1,47 +1,61 @@
-//! What all proxies of a fleet together send to backends that have just started, beside what the rule allows: N is what
-//! the settings allow a cold backend in a window, and 2 x root of N + 2 more is chance. Modules alone: each knows
-//! nothing of the others, and their attempts all take the time that one request takes a warm backend.
+//! What all proxies of a fleet together send to backends that have just started, beside what the rule allows: N is
+//! what the settings allow a warming backend in an overload window, and 2 x root of N + 2 more is chance. Balancers
+//! alone: each knows nothing of the others, and their attempts all take the time that one request takes a warm backend.
 
-use crate::support::{backend, Host};
-use load_balancer::{Backend, Config, EndpointListUpdate, Micros, Outcome};
+use crate::support::{backend, AttemptId, Host};
+use load_balancer::{Backend, Config, EndpointListUpdate, Micros, Outcome, Time};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 
-/// A warm backend's time for one request of mean work.
-const SERVICE: u64 = 50_000;
-
-const STEP: u64 = 25_000;
-
+/// A warm backend's time for one request of mean work, in µs.
+const SERVICE_US: u64 = 50_000;
+const STEP_US: u64 = 25_000;
 const BACKENDS: u32 = 60;
-
-/// Steps before and after the start of the cold ones.
-const WARM_STEPS: u64 = 160;
-
-const COLD_STEPS: u64 = 240;
+/// Steps before and after the start of the warming backends.
+const STEPS_BEFORE: u64 = 160;
+const STEPS_AFTER: u64 = 240;
 
 /// A fleet, its load and what happens to it.
 #[derive(Clone, Copy, Debug)]
-struct Play {
+struct Scenario {
     proxies: u32,
     /// Arrivals, as a part of what all backends can do when warm.
     load: f64,
     /// So many of ten backends start at once.
-    cold_tenths: u64,
+    started_tenths: u64,
     /// The proxies start with them and know neither rate nor times.
-    restarted: bool,
+    proxies_restart: bool,
     /// A tenth of the backends, warm ones, refuses all connections from then on.
-    ejections: bool,
+    connections_refused: bool,
     seed: u64,
 }
 
+impl Scenario {
+    fn is_started(&self, backend: u64) -> bool {
+        backend % 10 < self.started_tenths
+    }
+
+    fn refuses_connections(&self, backend: u64, step: u64) -> bool {
+        self.connections_refused && step >= STEPS_BEFORE && backend % 10 == 9
+    }
+
+    /// The requests of a proxy in one step, on average: every eighth gets four times as many as the others.
+    fn mean_arrivals(&self, proxy_index: u32) -> f64 {
+        let weight = |index: u32| if index % 8 == 1 { 4.0 } else { 1.0 };
+        let all: f64 = (0..self.proxies).map(weight).sum();
+        let per_service = self.load * f64::from(BACKENDS) * weight(proxy_index) / all;
+        per_service * STEP_US as f64 / SERVICE_US as f64
+    }
+}
+
 fn config(proxies: u32) -> Config {
     let class = Config::example().classes[0].clone();
-    let cold = Config {
+    let with_slow_start = Config {
         slow_start_initial_fraction: 0.13,
         slow_start_duration: Micros(24_000_000),
         ..Config::example()
     };
-    Config { proxy_count: proxies, classes: vec![class; 3], ..cold }
+    Config { proxy_count: proxies, classes: vec![class; 3], ..with_slow_start }
 }
 
 /// A class's work beside the mean of the three, which come equally often.
@@ -49,13 +63,9 @@
     [0.5, 1.0, 1.5][class]
 }
 
-fn is_cold(play: &Play, backend: u64) -> bool {
-    backend % 10 < play.cold_tenths
-}
-
-/// So many events by chance, this many on average.
-fn poisson(dice: &mut Pcg32, mean: f64) -> u32 {
-    let mut unit = || (f64::from(dice.next_u32()) + 0.5) / 4_294_967_296.0;
+/// How many events happen by chance that are this many on average.
+fn poisson(random: &mut Pcg32, mean: f64) -> u32 {
+    let mut unit = || (f64::from(random.next_u32()) + 0.5) / 4_294_967_296.0;
     let (floor, mut product, mut count) = ((-mean).exp(), unit(), 0);
     while product > floor {
         product *= unit();
@@ -64,120 +74,181 @@
     count
 }
 
-/// Work that each backend was sent in each step since the start of the cold ones.
-type Sent = Vec<Vec<f64>>;
-
-/// Plays one proxy and adds what it sends.
-fn play_one(play: &Play, position: u32, sent: &mut Sent) {
-    let seed = play.seed * 10_000 + u64::from(position);
-    let mut dice = Pcg32::seed_from_u64(seed);
-    let mut host = Host::new(Config { proxy_index: position, ..config(play.proxies) }, seed);
-    let list: Vec<Backend> = (0..BACKENDS).map(|i| backend(i, 0, i % 2)).collect();
-    host.members(EndpointListUpdate::Snapshot, list.clone());
-    // Every eighth proxy sees four times as much as the others.
-    let weight = |p: u32| if p % 8 == 1 { 4.0 } else { 1.0 };
-    let all: f64 = (0..play.proxies).map(weight).sum();
-    let per_service = play.load * f64::from(BACKENDS) * weight(position) / all;
-    let mean = per_service * STEP as f64 / SERVICE as f64;
-    let start = host.now + Micros(WARM_STEPS * STEP);
-    let end = start + Micros(COLD_STEPS * STEP);
-    for step in 0..WARM_STEPS + COLD_STEPS {
-        if step == WARM_STEPS {
-            if play.restarted {
-                let now = host.now;
-                host = Host::new(Config { proxy_index: position, ..config(play.proxies) }, seed + 5_000);
-                host.now = now;
-                host.members(EndpointListUpdate::Cached, list.clone());
+/// Work that each backend was sent in each step since the start of the warming ones.
+type SentWork = Vec<Vec<f64>>;
+
+/// One proxy of a scenario.
+struct ScenarioProxy<'a> {
+    scenario: &'a Scenario,
+    proxy_index: u32,
+    seed: u64,
+    backends: Vec<Backend>,
+    host: Host,
+}
+
+impl<'a> ScenarioProxy<'a> {
+    fn start(scenario: &'a Scenario, proxy_index: u32) -> ScenarioProxy<'a> {
+        let seed = scenario.seed * 10_000 + u64::from(proxy_index);
+        let mut host = Host::new(Config { proxy_index, ..config(scenario.proxies) }, seed);
+        let backends: Vec<Backend> = (0..BACKENDS).map(|id| backend(id, 0, id % 2)).collect();
+        host.update_endpoints(EndpointListUpdate::Snapshot, backends.clone());
+        ScenarioProxy { scenario, proxy_index, seed, backends, host }
+    }
+
+    /// Runs the scenario and adds what the proxy sends.
+    fn run(&mut self, sent: &mut SentWork) {
+        let mut random = Pcg32::seed_from_u64(self.seed);
+        let mean = self.scenario.mean_arrivals(self.proxy_index);
+        let start = self.host.now + Micros(STEPS_BEFORE * STEP_US);
+        for step in 0..STEPS_BEFORE + STEPS_AFTER {
+            if step == STEPS_BEFORE {
+                self.start_backends();
             }
-            let started_at = Some(host.now);
-            let cold = list.iter().filter(|b| is_cold(play, b.id.0));
-            host.members(
-                EndpointListUpdate::Delta,
-                cold.map(|b| Backend { started_at, ..b.clone() }).collect(),
-            );
+            for _ in 0..poisson(&mut random, mean) {
+                self.host.arrive((random.next_u32() % 3) as usize, 400_000);
+            }
+            self.host.advance(STEP_US);
+            self.end_attempts(step);
+            let is_last = step + 1 == STEPS_BEFORE + STEPS_AFTER;
+            self.add_sent_work(start, is_last, sent);
+            self.host.requests.retain(|_, request| request.answer.is_none());
         }
-        for _ in 0..poisson(&mut dice, mean) {
-            host.arrive((dice.next_u32() % 3) as usize, 400_000);
+    }
+
+    /// The warming backends start, and the proxy as well where the scenario has it so.
+    fn start_backends(&mut self) {
+        if self.scenario.proxies_restart {
+            let config = Config { proxy_index: self.proxy_index, ..config(self.scenario.proxies) };
+            let now = self.host.now;
+            self.host = Host::new(config, self.seed + 5_000);
+            self.host.now = now;
+            self.host.update_endpoints(EndpointListUpdate::Cached, self.backends.clone());
         }
-        host.advance(STEP);
-        for (id, no) in host.out() {
-            let r = &host.requests[&id];
-            let (tried, needs) = (&r.tries[no], work(r.class) * SERVICE as f64);
-            let refused = play.ejections && step >= WARM_STEPS && tried.backend.0 % 10 == 9;
-            if refused {
-                host.end(id, no, Outcome::ConnectFailed);
-            } else if (host.now - tried.at).0 as f64 >= needs {
-                host.end(id, no, Outcome::Success);
+        let started_at = Some(self.host.now);
+        let started = self.backends.iter().filter(|backend| self.scenario.is_started(backend.id.0));
+        let started = started.map(|backend| Backend { started_at, ..backend.clone() }).collect();
+        self.host.update_endpoints(EndpointListUpdate::Delta, started);
+    }
+
+    /// Ends the attempts that have taken their time, or that are refused.
+    fn end_attempts(&mut self, step: u64) {
+        for AttemptId { request: id, number } in self.host.in_flight() {
+            let request = &self.host.requests[&id];
+            let attempt = &request.attempts[number];
+            let duration_us = work(request.class) * SERVICE_US as f64;
+            if self.scenario.refuses_connections(attempt.backend.0, step) {
+                self.host.end(id, number, Outcome::ConnectFailed);
+            } else if (self.host.now - attempt.at).0 as f64 >= duration_us {
+                self.host.end(id, number, Outcome::Success);
             }
         }
-        let last = step + 1 == WARM_STEPS + COLD_STEPS;
-        for r in host.requests.values().filter(|r| last || r.answer.is_some()) {
-            for t in r.tries.iter().filter(|t| (start..end).contains(&t.at)) {
-                sent[t.backend.0 as usize][((t.at - start).0 / STEP) as usize] += work(r.class);
+    }
+
+    /// Adds what the requests that have ended, or all of them, sent since `start`.
+    fn add_sent_work(&self, start: Time, all_requests: bool, sent: &mut SentWork) {
+        let end = start + Micros(STEPS_AFTER * STEP_US);
+        let ended = self.host.requests.values().filter(|request| all_requests || request.answer.is_some());
+        for request in ended {
+            for attempt in request.attempts.iter().filter(|attempt| (start..end).contains(&attempt.at)) {
+                let step = ((attempt.at - start).0 / STEP_US) as usize;
+                sent[attempt.backend.0 as usize][step] += work(request.class);
             }
         }
-        host.requests.retain(|_, r| r.answer.is_none());
     }
 }
 
-/// The worst of all sums to a cold backend inside a window, beside what the rule allows then; and how many windows of
-/// all were over it.
-fn worst(play: &Play) -> (f64, usize) {
-    let cfg = config(play.proxies);
-    let mut sent: Sent = vec![vec![0.0; COLD_STEPS as usize]; BACKENDS as usize];
-    (0..play.proxies).for_each(|position| play_one(play, position, &mut sent));
-    let window = (cfg.overload_window.0 / STEP) as usize;
-    let (mut worst, mut over) = (0.0, 0);
-    for (_, steps) in sent.iter().enumerate().filter(|(b, _)| is_cold(play, *b as u64)) {
+/// The most work in a window of a warming backend, beside what the rule allows then.
+#[derive(Clone, Copy, Default)]
+struct Worst {
+    ratio: f64,
+    /// How many windows of all were over the limit.
+    windows_over: usize,
+}
+
+impl Worst {
+    fn or(self, other: Worst) -> Worst {
+        let windows_over = self.windows_over + other.windows_over;
+        Worst { ratio: f64::max(self.ratio, other.ratio), windows_over }
+    }
+}
+
+/// What the rule allows in the window that ends with a step. The backend can do less before its end.
+fn limit(config: &Config, end_step: usize) -> f64 {
+    let age = end_step as f64 * STEP_US as f64 / config.slow_start_duration.0 as f64;
+    let warmth =
+        config.slow_start_initial_fraction + (1.0 - config.slow_start_initial_fraction) * age.min(1.0);
+    let allowed = config.overload_multiple * warmth * config.overload_window.0 as f64 / SERVICE_US as f64;
+    allowed + 2.0 * allowed.sqrt() + 2.0
+}
+
+fn worst(scenario: &Scenario) -> Worst {
+    let config = config(scenario.proxies);
+    let mut sent: SentWork = vec![vec![0.0; STEPS_AFTER as usize]; BACKENDS as usize];
+    for proxy_index in 0..scenario.proxies {
+        ScenarioProxy::start(scenario, proxy_index).run(&mut sent);
+    }
+    let window = (config.overload_window.0 / STEP_US) as usize;
+    let mut worst = Worst::default();
+    let warming = sent.iter().enumerate().filter(|(backend, _)| scenario.is_started(*backend as u64));
+    for (_, steps) in warming {
         for end in 1..=steps.len() {
             let sum: f64 = steps[end.saturating_sub(window)..end].iter().sum();
-            // What it can do at the window's end; it can do less before.
-            let age = end as f64 * STEP as f64 / cfg.slow_start_duration.0 as f64;
-            let warmth =
-                cfg.slow_start_initial_fraction + (1.0 - cfg.slow_start_initial_fraction) * age.min(1.0);
-            let n = cfg.overload_multiple * warmth * cfg.overload_window.0 as f64 / SERVICE as f64;
-            let ratio = sum / (n + 2.0 * n.sqrt() + 2.0);
-            worst = f64::max(worst, ratio);
-            over += usize::from(ratio > 1.0);
+            let ratio = sum / limit(&config, end);
+            worst = worst.or(Worst { ratio, windows_over: usize::from(ratio > 1.0) });
         }
     }
-    (worst, over)
+    worst
 }
 
-/// Every fleet and load with so many seeds each; prints the worst ratio of each and returns the worst of all.
-fn worst_of_all(proxies: &[u32], loads: &[f64], seeds: u64) -> f64 {
-    let mut plays = Vec::new();
+fn scenarios(proxies: &[u32], loads: &[f64]) -> Vec<Scenario> {
+    let mut scenarios = Vec::new();
     for &proxies in proxies {
         for &load in loads {
-            for (cold_tenths, restarted, ejections) in
+            for (started_tenths, proxies_restart, connections_refused) in
                 [(2, false, false), (9, false, false), (2, true, false), (9, true, false), (2, false, true)]
             {
-                plays.push(Play { proxies, load, cold_tenths, restarted, ejections, seed: 0 });
+                scenarios.push(Scenario {
+                    proxies,
+                    load,
+                    started_tenths,
+                    proxies_restart,
+                    connections_refused,
+                    seed: 0,
+                });
             }
         }
     }
-    let run = |play: &Play| {
-        let ratios = (1..=seeds).map(|seed| worst(&Play { seed, ..*play }));
-        ratios.fold((0.0, 0), |all, one| (f64::max(all.0, one.0), all.1 + one.1))
+    scenarios
+}
+
+/// Runs every fleet and load with so many seeds each; prints the worst ratio of each and returns the worst of all.
+fn worst_of_all(proxies: &[u32], loads: &[f64], seeds: u64) -> f64 {
+    let scenarios = scenarios(proxies, loads);
+    let run = |scenario: &Scenario| {
+        let worst_of_seeds = (1..=seeds).map(|seed| worst(&Scenario { seed, ..*scenario }));
+        worst_of_seeds.fold(Worst::default(), Worst::or)
     };
-    let threads = std::thread::available_parallelism().map_or(2, |n| n.get().min(4));
-    let parts: Vec<Vec<(Play, (f64, usize))>> = std::thread::scope(|scope| {
-        let part = |k: usize| plays.iter().skip(k).step_by(threads).map(|p| (*p, run(p))).collect();
-        let spawned: Vec<_> = (0..threads).map(|k| scope.spawn(move || part(k))).collect();
-        spawned.into_iter().map(|t| t.join().expect("a play")).collect()
+    let threads = std::thread::available_parallelism().map_or(2, |count| count.get().min(4));
+    let mut results: Vec<(Scenario, Worst)> = std::thread::scope(|scope| {
+        let run_part = |thread: usize| -> Vec<(Scenario, Worst)> {
+            let part = scenarios.iter().skip(thread).step_by(threads);
+            part.map(|scenario| (*scenario, run(scenario))).collect()
+        };
+        let spawned: Vec<_> = (0..threads).map(|thread| scope.spawn(move || run_part(thread))).collect();
+        spawned.into_iter().flat_map(|thread| thread.join().expect("a part of the scenarios")).collect()
     });
-    let mut all: Vec<_> = parts.into_iter().flatten().collect();
-    all.sort_by(|a, b| b.1 .0.total_cmp(&a.1 .0));
-    for (play, (worst, over)) in &all {
-        println!("{worst:.2} of the limit, {over} windows over it, {seeds} seeds: {play:?}");
+    results.sort_by(|a, b| b.1.ratio.total_cmp(&a.1.ratio));
+    for (scenario, Worst { ratio, windows_over }) in &results {
+        println!("{ratio:.2} of the limit, {windows_over} windows over it, {seeds} seeds: {scenario:?}");
     }
-    all[0].1 .0
+    results[0].1.ratio
 }
 
-/// `FALL_SEEDS` plays more than the few that every change has to pass.
+/// Guards against proxies that together overload a warming backend. `FALL_SEEDS` runs more seeds than the few that
+/// every change has to pass.
 #[test]
 fn no_fleet_pushes_a_cold_backend_over() {
-    let seeds = std::env::var("FALL_SEEDS").ok().and_then(|n| n.parse().ok()).unwrap_or(1);
+    let seeds = std::env::var("FALL_SEEDS").ok().and_then(|seeds| seeds.parse().ok()).unwrap_or(1);
     let worst = worst_of_all(&[3, 8, 20, 30, 300, 470], &[0.6, 0.9, 1.3], seeds);
     assert!(worst <= 1.0, "{worst}");
 }
--- a/tests/balancer/invariants.rs
+++ b/tests/balancer/invariants.rs
@@ -1,23 +1,29 @@
 //! The rules as invariants over generated sequences of events; `support::Host` checks each action.
 
-use crate::support::{backend, class, Host, Open};
+use crate::support::{backend, class, AttemptId, Host, TrackedRequest};
 use load_balancer::{
-    AttemptNumber, Backend, BackendState, Class, Config, DiscoveryMode, EndpointListUpdate, Event,
-    Idempotency, IdempotencyScope, Micros, Outcome, RequestId, Tenant, TenantId, TimerToken,
+    AttemptNumber, Backend, BackendState, Class, Config, DiscoveryMode, EndpointListUpdate, Idempotency,
+    IdempotencyScope, Micros, Outcome, RequestId, Tenant, TenantId, TimerToken,
 };
 use proptest::prelude::*;
 use proptest::test_runner::{RngAlgorithm, TestRng, TestRunner};
 
+/// One thing that happens to a host; `usize` picks one of the attempts or requests that it can happen to.
 #[derive(Clone, Debug)]
 enum Step {
+    /// Class, time left in µs, tenant.
     Arrive(usize, u64, Option<usize>),
     End(usize, Outcome),
     Stream(usize),
-    Gone(usize),
-    Pass(u64),
-    Member(u32, BackendState, bool),
-    Relist(u32, EndpointListUpdate),
-    Nonsense(u64, u32, u64),
+    Disconnect(usize),
+    /// µs.
+    Advance(u64),
+    /// Id, state, whether its process has just started.
+    Endpoint(u32, BackendState, bool),
+    /// The endpoints of a whole list, as bits.
+    List(u32, EndpointListUpdate),
+    /// Request, attempt, timer.
+    UnknownEvents(u64, u32, u64),
 }
 
 fn outcome() -> impl Strategy<Value = Outcome> {
@@ -44,21 +50,22 @@
         Just(EndpointListUpdate::SubscriptionLost)
     ];
     prop_oneof![
-        10 => (0..6usize, 0..2_000_000u64, proptest::option::of(0..2usize)).prop_map(|(c, l, t)| Step::Arrive(c, l, t)),
-        8 => (0..64usize, outcome()).prop_map(|(n, o)| Step::End(n, o)),
+        10 => (0..6usize, 0..2_000_000u64, proptest::option::of(0..2usize)).prop_map(|(class, time_left_us, tenant)| Step::Arrive(class, time_left_us, tenant)),
+        8 => (0..64usize, outcome()).prop_map(|(n, outcome)| Step::End(n, outcome)),
         1 => (0..64usize).prop_map(Step::Stream),
-        1 => (0..64usize).prop_map(Step::Gone),
-        8 => (0..150_000u64).prop_map(Step::Pass),
-        2 => (0..8u32, state, any::<bool>()).prop_map(|(b, s, r)| Step::Member(b, s, r)),
-        1 => (0..256u32, update).prop_map(|(m, u)| Step::Relist(m, u)),
-        1 => (0..200u64, 0..9u32, any::<u64>()).prop_map(|(r, a, t)| Step::Nonsense(r, a, t)),
+        1 => (0..64usize).prop_map(Step::Disconnect),
+        8 => (0..150_000u64).prop_map(Step::Advance),
+        2 => (0..8u32, state, any::<bool>()).prop_map(|(id, state, restarted)| Step::Endpoint(id, state, restarted)),
+        1 => (0..256u32, update).prop_map(|(mask, update)| Step::List(mask, update)),
+        1 => (0..200u64, 0..9u32, any::<u64>()).prop_map(|(request, attempt, token)| Step::UnknownEvents(request, attempt, token)),
     ]
 }
 
-fn config(bits: u32) -> Config {
+/// A configuration whose options are the bits of a number.
+fn config_with(bits: u32) -> Config {
     let window = Micros(300_000);
-    let mut cfg = Config::example();
-    cfg.classes = vec![
+    let mut config = Config::example();
+    config.classes = vec![
         class(Idempotency::Idempotent),
         Class { late_weight_fraction: 0.3, priority_weight: 5.0, ..class(Idempotency::NonIdempotent) },
         class(Idempotency::Keyed { scope: IdempotencyScope::Zone, window }),
@@ -66,69 +73,70 @@
         class(Idempotency::Keyed { scope: IdempotencyScope::All, window }),
         Class { latency_objective: Micros(100_000), ..class(Idempotency::Idempotent) },
     ];
-    cfg.tenants = vec![Tenant { quota_per_second: 20.0 }, Tenant { quota_per_second: 5.0 }];
-    cfg.worst_class_goal_weight = 0.3;
-    cfg.hedging_allowed = bits & 1 == 0;
-    cfg.live_weights = bits & 2 == 0;
-    cfg.proxy_count = if bits & 1 == 0 { 3 } else { 400 };
-    cfg.can_cancel = bits & 4 == 0;
-    cfg.cross_zone_cost = if bits & 16 == 0 { 0.05 } else { 0.0 };
+    config.tenants = vec![Tenant { quota_per_second: 20.0 }, Tenant { quota_per_second: 5.0 }];
+    config.worst_class_goal_weight = 0.3;
+    config.hedging_allowed = bits & 1 == 0;
+    config.live_weights = bits & 2 == 0;
+    config.proxy_count = if bits & 1 == 0 { 3 } else { 400 };
+    config.can_cancel = bits & 4 == 0;
+    config.cross_zone_cost = if bits & 16 == 0 { 0.05 } else { 0.0 };
     if bits & 8 == 0 {
-        cfg.discovery = DiscoveryMode::Subscribe(Micros(2_000_000));
+        config.discovery = DiscoveryMode::Subscribe(Micros(2_000_000));
     }
-    cfg
+    config
 }
 
-/// Plays the steps and returns every action as text, for the test of repeatability.
-fn play(bits: u32, seed: u64, steps: &[Step]) -> Vec<String> {
-    let mut host = Host::new(config(bits), seed);
+/// Runs the steps and returns every action as text.
+fn run_steps(bits: u32, seed: u64, steps: &[Step]) -> Vec<String> {
+    let mut host = Host::new(config_with(bits), seed);
     let mut trace = Vec::new();
-    let fleet = |mask: u32| (0..8).filter(|i| mask >> i & 1 == 1).map(|i| backend(i, i % 3, i % 2)).collect();
-    host.members(EndpointListUpdate::Cached, fleet(0b0111_1011));
+    let backends_in =
+        |mask: u32| (0..8).filter(|id| mask >> id & 1 == 1).map(|id| backend(id, id % 3, id % 2)).collect();
+    host.update_endpoints(EndpointListUpdate::Cached, backends_in(0b0111_1011));
     for step in steps {
         match *step {
-            Step::Arrive(c, left, t) => {
-                host.arrive_for(c, left, t.map(TenantId));
+            Step::Arrive(class, time_left_us, tenant) => {
+                host.arrive_for(class, time_left_us, tenant.map(TenantId));
             }
-            Step::End(n, o) => {
-                if let Some((id, no)) = nth(&host.out(), n) {
-                    host.end(id, no, o);
+            Step::End(n, outcome) => {
+                if let Some(AttemptId { request, number }) = nth(&host.in_flight(), n) {
+                    host.end(request, number, outcome);
                 }
             }
             Step::Stream(n) => {
-                if let Some((id, no)) = nth(&host.out(), n) {
-                    host.start_stream(id, no);
+                if let Some(AttemptId { request, number }) = nth(&host.in_flight(), n) {
+                    host.start_stream(request, number);
                 }
             }
-            Step::Gone(n) => {
-                let open: Vec<RequestId> =
-                    host.requests.iter().filter(|(_, r)| r.answer.is_none()).map(|(id, _)| *id).collect();
-                if let Some(id) = nth(&open, n) {
-                    host.requests.get_mut(&id).unwrap().answer = Some("left");
-                    host.event(Event::ClientDisconnected { request: id });
+            Step::Disconnect(n) => {
+                let unanswered = host.requests.iter().filter(|(_, request)| request.answer.is_none());
+                let unanswered: Vec<RequestId> = unanswered.map(|(id, _)| *id).collect();
+                if let Some(id) = nth(&unanswered, n) {
+                    host.disconnect(id);
                 }
             }
-            Step::Pass(span) => host.advance(span),
-            Step::Member(b, state, restarted) => {
+            Step::Advance(duration_us) => host.advance(duration_us),
+            Step::Endpoint(id, state, restarted) => {
                 let started_at = restarted.then_some(host.now);
-                host.members(
+                host.update_endpoints(
                     EndpointListUpdate::Delta,
-                    vec![Backend { state, started_at, ..backend(b, b % 3, b % 2) }],
+                    vec![Backend { state, started_at, ..backend(id, id % 3, id % 2) }],
                 );
             }
-            Step::Relist(_, EndpointListUpdate::SubscriptionLost) => {
-                host.members(EndpointListUpdate::SubscriptionLost, Vec::new())
+            Step::List(_, EndpointListUpdate::SubscriptionLost) => {
+                host.update_endpoints(EndpointListUpdate::SubscriptionLost, Vec::new());
             }
-            Step::Relist(mask, update) => host.members(update, fleet(mask)),
-            Step::Nonsense(r, a, t) => {
-                host.nonsense(RequestId(1_000_000 + r), AttemptNumber(a), TimerToken(t));
+            Step::List(mask, update) => host.update_endpoints(update, backends_in(mask)),
+            Step::UnknownEvents(request, attempt, token) => {
+                let request = RequestId(1_000_000 + request);
+                host.handle_unknown(request, AttemptNumber(attempt), TimerToken(token));
             }
         }
-        trace.push(format!("{:?}", host.last));
+        trace.push(format!("{:?}", host.last_actions));
     }
     host.advance(3_000_000);
-    let answered = |r: &Open| r.answer.is_some() || r.streaming;
-    assert!(host.requests.values().all(answered), "a request was left without an answer");
+    let is_answered = |request: &TrackedRequest| request.answer.is_some() || request.is_streaming;
+    assert!(host.requests.values().all(is_answered), "a request was left without an answer");
     trace
 }
 
@@ -142,21 +150,23 @@
     TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]))
 }
 
+/// Guards against a sequence of events, of any kind, that makes the balancer break a rule.
 #[test]
 fn rules_hold_over_generated_events() {
     let all = (0..32u32, any::<u64>(), proptest::collection::vec(step(), 1..250));
     let run = runner(300).run(&all, |(bits, seed, steps)| {
-        play(bits, seed, &steps);
+        run_steps(bits, seed, &steps);
         Ok(())
     });
     run.unwrap();
 }
 
+/// Guards against decisions that do not follow from seed and events alone.
 #[test]
 fn the_same_events_give_the_same_actions() {
     let all = (0..32u32, any::<u64>(), proptest::collection::vec(step(), 1..120));
     let run = runner(40).run(&all, |(bits, seed, steps)| {
-        prop_assert_eq!(play(bits, seed, &steps), play(bits, seed, &steps));
+        prop_assert_eq!(run_steps(bits, seed, &steps), run_steps(bits, seed, &steps));
         Ok(())
     });
     run.unwrap();
--- a/tests/balancer/outlier_detection.rs
+++ b/tests/balancer/outlier_detection.rs
@@ -1,215 +1,218 @@
 //! Which backends are ejected, for how long, and which stay in use.
 
-use crate::support::{class, config, fleet, host, serve, Host};
-use load_balancer::{Config, Event, Idempotency, Outcome, RequestId};
+use crate::support::{backends, class, config_of, host, serve, Answer, Host};
+use load_balancer::{Config, Idempotency, Outcome, RequestId};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 use std::collections::BTreeSet;
 
-/// Serves on all but the erring backend until that is ejected; gives its number.
+/// The backend that [`eject_one`] ejects.
+const FAILING: u32 = 3;
+
+/// Serves on all but one backend until that is ejected; returns its id.
 fn eject_one(host: &mut Host) -> u32 {
     serve(host, 60, 0, |_| 10_000);
     for _ in 0..200 {
         let id = host.arrive(0, 900_000);
-        let bad = host.sent_to(id)[0] == 3;
+        let is_failing = host.dispatched_to(id)[0] == FAILING;
         host.advance(5_000);
-        host.end(id, 0, if bad { Outcome::ErrorResponse } else { Outcome::Success });
-        let again = host.requests[&id].tries.len();
-        host.end(id, again - 1, Outcome::Success);
+        host.end(id, 0, if is_failing { Outcome::ErrorResponse } else { Outcome::Success });
+        let attempts = host.requests[&id].attempts.len();
+        host.end(id, attempts - 1, Outcome::Success);
         if host.has_ejected_any() {
-            return 3;
+            return FAILING;
         }
     }
     panic!("never ejected");
 }
 
+/// Guards against a failing backend that is not ejected, or never used again.
 #[test]
 fn an_erring_backend_is_ejected_and_comes_back_after_its_term() {
-    let mut host = host(config(vec![class(Idempotency::Idempotent)]), fleet(6));
-    let bad = eject_one(&mut host);
-    assert!(!serve(&mut host, 40, 0, |_| 5_000).contains(&bad), "used during its term");
+    let mut host = host(config_of(vec![class(Idempotency::Idempotent)]), backends(6));
+    let ejected = eject_one(&mut host);
+    assert!(!serve(&mut host, 40, 0, |_| 5_000).contains(&ejected), "used while ejected");
     host.advance(2_000_000);
-    assert!(serve(&mut host, 60, 0, |_| 5_000).contains(&bad), "it never came back");
+    assert!(serve(&mut host, 60, 0, |_| 5_000).contains(&ejected), "never used again");
 }
 
+/// Guards against one good answer that clears the record of a backend which mostly fails.
 #[test]
 fn a_backend_that_mostly_errs_is_tried_less_and_less() {
-    // Fleet days: one good answer cleared a bad backend's record, and each of its dozen proxies took it back
-    // after a second, all day long, at the price of two requests that may not be sent again.
-    let mut host = host(config(vec![class(Idempotency::NonIdempotent)]), fleet(6));
+    let mut host = host(config_of(vec![class(Idempotency::NonIdempotent)]), backends(6));
     serve(&mut host, 60, 0, |_| 10_000);
     let (mut sent, mut errors) = (0, 0);
     for _ in 0..3_000 {
         let id = host.arrive(0, 900_000);
-        let bad = host.sent_to(id).first() == Some(&3);
-        sent += u32::from(bad);
-        let errs = bad && sent % 3 > 0;
-        errors += u32::from(errs);
+        let is_failing = host.dispatched_to(id).first() == Some(&3);
+        sent += u32::from(is_failing);
+        let fails = is_failing && sent % 3 > 0;
+        errors += u32::from(fails);
         host.advance(10_000);
-        host.end(id, 0, if errs { Outcome::ErrorResponse } else { Outcome::Success });
+        host.end(id, 0, if fails { Outcome::ErrorResponse } else { Outcome::Success });
     }
     assert!((10..=26).contains(&errors), "{errors} errors in half a minute");
 }
 
+/// Guards against the ejection of a backend whose connection table is full, and connects to it without end.
 #[test]
 fn one_refused_dial_shuts_no_backend_out_and_a_full_table_is_dialled_less_and_less() {
-    // A full table refuses dials though its backend serves all those that it has taken.
-    let mut host = host(config(vec![class(Idempotency::NonIdempotent)]), fleet(4));
+    let mut host = host(config_of(vec![class(Idempotency::NonIdempotent)]), backends(4));
     serve(&mut host, 60, 0, |_| 10_000);
     let id = host.arrive(0, 900_000);
-    let met = host.sent_to(id)[0];
+    let first = host.dispatched_to(id)[0];
     host.end(id, 0, Outcome::ConnectFailed);
-    assert!(host.sent_to(id).len() == 2 && host.sent_to(id)[1] != met, "it goes elsewhere");
+    assert!(host.dispatched_to(id).len() == 2 && host.dispatched_to(id)[1] != first, "it goes elsewhere");
     host.end(id, 1, Outcome::Success);
-    // Well within the shortest term of an ejection.
-    assert!(serve(&mut host, 120, 0, |_| 5_000).contains(&met), "shut out for one refused dial");
-    let mut dials = 0;
+    // Well within the shortest ejection.
+    assert!(serve(&mut host, 120, 0, |_| 5_000).contains(&first), "ejected for one refused connection");
+    let mut connects = 0;
     for _ in 0..3_000 {
         let id = host.arrive(0, 900_000);
         host.advance(10_000);
-        host.end_all(|to| {
-            dials += u32::from(to == met);
-            if to == met {
+        host.end_all(|backend| {
+            connects += u32::from(backend == first);
+            if backend == first {
                 Outcome::ConnectFailed
             } else {
                 Outcome::Success
             }
         });
         host.serve_all(4_000);
-        assert_eq!(host.requests[&id].answer, Some("served"));
+        assert_eq!(host.answer(id), Some(Answer::Served));
     }
-    assert!((4..=12).contains(&dials), "{dials} dials in 42 s");
+    assert!((4..=12).contains(&connects), "{connects} connects in 42 s");
 }
 
+/// Guards against connects to unreachable backends as soon as half of the fleet is ejected.
 #[test]
 fn with_half_of_the_fleet_ejected_those_that_cannot_be_reached_stay_out() {
-    // A day of garbled answers: with three backends of nine dead and two ejected for errors, all were used
-    // again, and one proxy dialled the dead ones a hundred times a second.
-    let mut host = host(config(vec![class(Idempotency::NonIdempotent)]), fleet(6));
+    let mut host = host(config_of(vec![class(Idempotency::NonIdempotent)]), backends(6));
     serve(&mut host, 60, 0, |_| 10_000);
-    let (mut dials, mut late) = (0, BTreeSet::new());
-    for i in 0..600 {
+    let (mut connects, mut used_later) = (0, BTreeSet::new());
+    for step in 0..600 {
         host.arrive(0, 900_000);
         host.advance(10_000);
-        host.end_all(|to| {
-            if i >= 300 {
-                late.insert(to);
+        host.end_all(|backend| {
+            if step >= 300 {
+                used_later.insert(backend);
             }
-            let outcome = [Outcome::ConnectFailed, Outcome::ErrorResponse, Outcome::Success][to as usize / 2];
-            dials += u32::from(outcome == Outcome::ConnectFailed);
+            let outcome =
+                [Outcome::ConnectFailed, Outcome::ErrorResponse, Outcome::Success][backend as usize / 2];
+            connects += u32::from(outcome == Outcome::ConnectFailed);
             outcome
         });
     }
-    assert!(dials <= 20, "{dials} dials to two dead backends in 6 s");
-    assert!(late.contains(&2) && late.contains(&3), "the others are used: {late:?}");
-    // With nobody else left they are tried: it may be the way to all of them that was cut.
+    assert!(connects <= 20, "{connects} connects to two unreachable backends in 6 s");
+    assert!(used_later.contains(&2) && used_later.contains(&3), "the others are used: {used_later:?}");
+    // With no other left they are used: it may be the network to all of them that failed.
     for _ in 0..30 {
         host.arrive(0, 900_000);
         host.advance(10_000);
         host.end_all(|_| Outcome::ConnectFailed);
     }
-    assert!(!serve(&mut host, 5, 0, |_| 5_000).is_empty(), "none is tried");
+    assert!(!serve(&mut host, 5, 0, |_| 5_000).is_empty(), "none is used");
 }
 
+/// Guards against the ejection of backends that fail no more often than all others.
 #[test]
 fn where_all_err_alike_none_is_shut_out_but_one_that_errs_far_more_is() {
-    // A day of garbled answers: all nine backends came back unreadable at every fourteenth, and by turns two
-    // errors close together had each of them out for seconds, until more than half were.
-    let mut host = host(config(vec![class(Idempotency::NonIdempotent)]), fleet(9));
-    let mut dice = Pcg32::seed_from_u64(11);
-    // Half a second of requests; the fourth backend errs at another part of them. Gives how often each was used.
-    let mut play = |host: &mut Host, part: f64| {
+    let mut host = host(config_of(vec![class(Idempotency::NonIdempotent)]), backends(9));
+    let mut random = Pcg32::seed_from_u64(11);
+    // Half a second of requests; the fourth backend fails with another probability. Returns how often each was used.
+    let mut run = |host: &mut Host, failure_rate: f64| {
         let mut used = [0; 9];
         for _ in 0..50 {
             let id = host.arrive(0, 900_000);
-            let to = host.sent_to(id)[0] as usize;
-            used[to] += 1;
+            let backend = host.dispatched_to(id)[0] as usize;
+            used[backend] += 1;
             host.advance(10_000);
-            let part = if to == 3 { part } else { 0.07 };
-            let errs = f64::from(dice.next_u32()) < part * f64::from(u32::MAX);
-            host.end(id, 0, if errs { Outcome::ErrorResponse } else { Outcome::Success });
+            let failure_rate = if backend == 3 { failure_rate } else { 0.07 };
+            let fails = f64::from(random.next_u32()) < failure_rate * f64::from(u32::MAX);
+            host.end(id, 0, if fails { Outcome::ErrorResponse } else { Outcome::Success });
         }
         used
     };
-    let unused = |used: [u32; 9]| used.iter().filter(|n| **n == 0).count();
-    let out: usize = (0..60).map(|_| unused(play(&mut host, 0.07))).sum();
-    assert!(out <= 30, "out of use in {out} of 540 half seconds");
-    let bad: u32 = (0..60).map(|_| play(&mut host, 0.9)[3]).sum();
-    assert!(bad <= 60, "{bad} of 3000 requests went to one that errs at nine of ten");
+    let count_unused = |used: [u32; 9]| used.iter().filter(|count| **count == 0).count();
+    let unused: usize = (0..60).map(|_| count_unused(run(&mut host, 0.07))).sum();
+    assert!(unused <= 30, "not used in {unused} of 540 half seconds");
+    let sent: u32 = (0..60).map(|_| run(&mut host, 0.9)[3]).sum();
+    assert!(sent <= 60, "{sent} of 3000 requests went to one that fails nine of ten");
 }
 
+/// Guards against an ejection for one reset connection, and none where all connections of a backend break.
 #[test]
 fn one_broken_connection_shuts_no_backend_out_but_a_dead_process_is() {
-    // A day of steady single resets kept a sixth of a fleet of ten out that served all others well.
-    let mut host = host(config(vec![class(Idempotency::NonIdempotent)]), fleet(4));
+    let mut host = host(config_of(vec![class(Idempotency::NonIdempotent)]), backends(4));
     serve(&mut host, 60, 0, |_| 10_000);
     let id = host.arrive(0, 900_000);
-    let met = host.sent_to(id)[0];
+    let first = host.dispatched_to(id)[0];
     host.end(id, 0, Outcome::ConnectionReset);
-    // Well within the shortest term of an ejection.
-    assert!(serve(&mut host, 120, 0, |_| 5_000).contains(&met), "shut out for one connection");
+    // Well within the shortest ejection.
+    assert!(serve(&mut host, 120, 0, |_| 5_000).contains(&first), "ejected for one connection");
     let dead = loop {
-        let out: Vec<RequestId> = host.burst(2, 0, 900_000);
-        let to: Vec<u32> = out.iter().map(|id| host.sent_to(*id)[0]).collect();
-        let outcome = if to[0] == to[1] { Outcome::ConnectionReset } else { Outcome::Success };
-        out.iter().for_each(|id| host.end(*id, 0, outcome));
+        let requests: Vec<RequestId> = host.burst(2, 0, 900_000);
+        let chosen: Vec<u32> = requests.iter().map(|id| host.dispatched_to(*id)[0]).collect();
+        let outcome = if chosen[0] == chosen[1] { Outcome::ConnectionReset } else { Outcome::Success };
+        for id in requests {
+            host.end(id, 0, outcome);
+        }
         if outcome == Outcome::ConnectionReset {
-            break to[0];
+            break chosen[0];
         }
     };
     assert!(!serve(&mut host, 40, 0, |_| 5_000).contains(&dead), "all its connections broke at once");
 }
 
+/// Guards against ejections and load shedding because backends reject connections over their limit.
 #[test]
 fn a_full_connection_table_neither_ejects_its_backend_nor_sheds_load() {
-    // First fleet day: the idle connections of a hundred proxies filled every backend's table, each answer
-    // that turned a new one away shut its backend out for a second, and nine requests in ten were shed.
-    let mut host = host(Config { proxy_count: 100, ..Config::example() }, fleet(20));
+    let mut host = host(Config { proxy_count: 100, ..Config::example() }, backends(20));
     serve(&mut host, 60, 0, |_| 10_000);
-    let mut met = BTreeSet::new();
+    let mut rejecting = BTreeSet::new();
     for _ in 0..40 {
-        // As many as the retry budget stands.
+        // As many as the retry budget allows.
         serve(&mut host, 5, 0, |_| 5_000);
         let id = host.arrive(0, 900_000);
-        assert_eq!(host.sent_to(id).len(), 1, "shed, or nowhere to go");
-        met.insert(host.sent_to(id)[0]);
+        assert_eq!(host.dispatched_to(id).len(), 1, "shed, or nowhere to go");
+        rejecting.insert(host.dispatched_to(id)[0]);
         host.advance(5_000);
         host.end(id, 0, Outcome::Rejected);
         host.advance(5_000);
         host.end(id, 1, Outcome::Success);
-        assert_eq!(host.requests[&id].answer, Some("served"), "not sent elsewhere");
+        assert_eq!(host.answer(id), Some(Answer::Served), "not sent elsewhere");
     }
     assert!(!host.has_ejected_any(), "{:?}", host.logs);
     let again: BTreeSet<_> = serve(&mut host, 200, 0, |_| 5_000).into_iter().collect();
-    assert!(met.is_subset(&again), "shut out for a full table");
+    assert!(rejecting.is_subset(&again), "ejected for a full table");
 }
 
+/// Guards against all load on the one backend left where most fail.
 #[test]
 fn when_most_backends_err_they_are_used_after_all() {
-    let mut host = host(config(vec![class(Idempotency::Idempotent)]), fleet(4));
+    let mut host = host(config_of(vec![class(Idempotency::Idempotent)]), backends(4));
     serve(&mut host, 40, 0, |_| 10_000);
     for _ in 0..200 {
         let id = host.arrive(0, 900_000);
-        let bad = host.sent_to(id).first().is_some_and(|b| *b != 0);
+        let is_failing = host.dispatched_to(id).first().is_some_and(|backend| *backend != 0);
         host.advance(5_000);
-        host.end(id, 0, if bad { Outcome::ErrorResponse } else { Outcome::Success });
-        let no = host.requests[&id].tries.len().saturating_sub(1);
-        host.end(id, no, Outcome::Success);
+        host.end(id, 0, if is_failing { Outcome::ErrorResponse } else { Outcome::Success });
+        let number = host.requests[&id].attempts.len().saturating_sub(1);
+        host.end(id, number, Outcome::Success);
     }
     let chosen = serve(&mut host, 80, 0, |_| 5_000);
-    assert!(chosen.iter().any(|b| *b != 0), "all load went to the one backend left");
+    assert!(chosen.iter().any(|backend| *backend != 0), "all load went to the one backend left");
 }
 
+/// Guards against an overloaded backend whose clients disconnect before their deadline, so that none fails.
 #[test]
 fn an_attempt_called_off_after_its_aim_counts_against_the_backend() {
-    // Accra rough-2: clients left before their deadline, so choked backends showed only cancels.
-    let mut host = host(config(vec![class(Idempotency::NonIdempotent)]), fleet(6));
+    let mut host = host(config_of(vec![class(Idempotency::NonIdempotent)]), backends(6));
     serve(&mut host, 60, 0, |_| 10_000);
     let id = host.arrive(0, 900_000);
-    let ill = host.sent_to(id)[0];
+    let slow = host.dispatched_to(id)[0];
     host.advance(450_000);
-    host.requests.get_mut(&id).unwrap().answer = Some("left");
-    host.event(Event::ClientDisconnected { request: id });
+    host.disconnect(id);
     host.advance(20_000);
-    assert!(!serve(&mut host, 30, 0, |_| 5_000).contains(&ill), "it still gets its slice");
+    assert!(!serve(&mut host, 30, 0, |_| 5_000).contains(&slow), "it still gets its share");
 }
--- a/tests/balancer/priority.rs
+++ b/tests/balancer/priority.rs
@@ -1,47 +1,58 @@
-//! Which of the waiting requests is served first: client retries, quotas and weights.
+//! Which of the queued requests is served first: client retries, quotas and weights.
 
-use crate::support::{class, config, fleet, host};
+use crate::support::{backends, class, config_of, host, Answer};
 use load_balancer::{Class, Config, Idempotency, Outcome, RequestId, Tenant, TenantId};
 
+/// Guards against client retries that are served before first requests and make everyone late.
 #[test]
 fn a_clients_repeat_waits_behind_first_tries() {
-    // Incident ic9a8f4: repeats counted as new and, newest first, made everyone late.
-    let mut host = host(Config { proxy_count: 1, ..Config::example() }, fleet(1));
-    let fill = host.burst(8, 0, 900_000);
+    let mut host = host(Config { proxy_count: 1, ..Config::example() }, backends(1));
+    let in_flight = host.burst(8, 0, 900_000);
     host.advance(5_000);
     let first = host.arrive(0, 900_000);
     host.is_client_retry = true;
-    let repeat = host.arrive(0, 900_000);
+    let retry = host.arrive(0, 900_000);
     host.advance(15_000);
-    fill.iter().for_each(|id| host.end(*id, 0, Outcome::Success));
-    let at = |id: &RequestId| host.requests[id].tries.first().map(|t| t.at);
-    assert!(at(&first).is_some());
-    assert!(at(&repeat).is_none_or(|t| t >= at(&first).unwrap()), "the repeat went first");
+    for id in in_flight {
+        host.end(id, 0, Outcome::Success);
+    }
+    let dispatched_at = |id: RequestId| host.requests[&id].attempts.first().map(|attempt| attempt.at);
+    assert!(dispatched_at(first).is_some());
+    assert!(
+        dispatched_at(retry).is_none_or(|at| at >= dispatched_at(first).unwrap()),
+        "the retry went first"
+    );
 }
 
+/// Guards against one tenant over its quota that fills the concurrency limit for all others.
 #[test]
 fn traffic_beyond_a_quota_leaves_room_for_the_others() {
     let tenants = vec![Tenant { quota_per_second: 1.0 }, Tenant { quota_per_second: 1_000.0 }];
-    let mut host = host(Config { proxy_count: 1, tenants, ..Config::example() }, fleet(2));
+    let mut host = host(Config { proxy_count: 1, tenants, ..Config::example() }, backends(2));
     let flood: Vec<RequestId> = (0..30).map(|_| host.arrive_for(0, 900_000, Some(TenantId(0)))).collect();
-    let flooded = flood.iter().filter(|id| !host.sent_to(**id).is_empty()).count();
+    let dispatched = flood.iter().filter(|id| !host.dispatched_to(**id).is_empty()).count();
     let other = host.arrive_for(0, 900_000, Some(TenantId(1)));
-    assert!(flooded <= 6, "{flooded} of the flood went out");
-    assert_eq!(host.sent_to(other).len(), 1, "the other tenant waits behind the flood");
+    assert!(dispatched <= 6, "{dispatched} of the flood were dispatched");
+    assert_eq!(host.dispatched_to(other).len(), 1, "the other tenant waits behind the flood");
 }
 
+/// Guards against overload in which the requests of the least weight are served.
 #[test]
 fn in_overload_the_densest_worth_is_served() {
-    let rich = Class { priority_weight: 8.0, ..class(Idempotency::Idempotent) };
-    let mut host =
-        host(Config { proxy_count: 1, ..config(vec![class(Idempotency::Idempotent), rich]) }, fleet(1));
-    let ids: Vec<RequestId> = (0..60).map(|n| host.arrive(n % 2, 900_000)).collect();
+    let heavy = Class { priority_weight: 8.0, ..class(Idempotency::Idempotent) };
+    let mut host = host(
+        Config { proxy_count: 1, ..config_of(vec![class(Idempotency::Idempotent), heavy]) },
+        backends(1),
+    );
+    let ids: Vec<RequestId> = (0..60).map(|number| host.arrive(number % 2, 900_000)).collect();
     for _ in 0..6 {
         host.serve_all(60_000);
     }
     host.advance(900_000);
-    let served =
-        |c: usize| ids.iter().skip(c).step_by(2).filter(|i| host.requests[i].answer == Some("served"));
-    let (poor, rich) = (served(0).count(), served(1).count());
-    assert!(rich > poor, "{rich} rich and {poor} poor requests were served");
+    let served = |class: usize| {
+        let requests = ids.iter().copied().skip(class).step_by(2);
+        requests.filter(|id| host.answer(*id) == Some(Answer::Served)).count()
+    };
+    let (light, heavy) = (served(0), served(1));
+    assert!(heavy > light, "{heavy} of the greater and {light} of the lesser weight were served");
 }
--- a/tests/balancer/subscription.rs
+++ b/tests/balancer/subscription.rs
@@ -1,23 +1,24 @@
-//! When the endpoint list is asked for.
+//! When the balancer subscribes to the endpoint list.
 
-use crate::support::{fleet, Host};
+use crate::support::{backends, Host};
 use load_balancer::{Config, DiscoveryMode, EndpointListUpdate, Event, Micros};
 
+/// Guards against a subscription that is not renewed after a loss, or is renewed without one.
 #[test]
 fn discovery_is_followed_at_once_and_again_after_a_loss() {
-    let cfg = Config { discovery: DiscoveryMode::Subscribe(Micros(10_000_000)), ..Config::example() };
-    let mut host = Host::new(cfg, 3);
-    host.members(EndpointListUpdate::Cached, fleet(2));
-    assert_eq!(host.follows, 1);
-    host.members(EndpointListUpdate::Delta, fleet(3));
+    let config = Config { discovery: DiscoveryMode::Subscribe(Micros(10_000_000)), ..Config::example() };
+    let mut host = Host::new(config, 3);
+    host.update_endpoints(EndpointListUpdate::Cached, backends(2));
+    assert_eq!(host.resubscriptions, 1);
+    host.update_endpoints(EndpointListUpdate::Delta, backends(3));
     host.advance(8_000_000);
-    assert_eq!(host.follows, 1, "a living subscription is not asked for again");
-    host.event(Event::EndpointListChanged {
+    assert_eq!(host.resubscriptions, 1, "a subscription in force is not renewed");
+    host.handle(Event::EndpointListChanged {
         update: EndpointListUpdate::SubscriptionLost,
         backends: Vec::new(),
     });
     host.advance(400_000);
-    assert_eq!(host.follows, 2);
+    assert_eq!(host.resubscriptions, 2);
     host.advance(6_000_000);
-    assert_eq!(host.follows, 3, "an unanswered call is repeated");
+    assert_eq!(host.resubscriptions, 3, "an unanswered call is made again");
 }
--- a/tests/balancer/support/builders.rs
+++ b/tests/balancer/support/builders.rs
@@ -1,11 +1,15 @@
 //! Backends, classes, configurations and hosts of the usual sort.
 
-use crate::support::Host;
+use super::Host;
 use load_balancer::{
     Backend, BackendId, BackendState, CellId, Class, Config, EndpointListUpdate, Idempotency, KindId, Micros,
     ZoneId,
 };
 
+/// The seed of the balancer in a host of [`host`].
+const SEED: u64 = 11;
+
+/// A ready backend that started long ago; backends with an even and an odd id are in different cells.
 pub fn backend(id: u32, zone: u32, kind: u32) -> Backend {
     Backend {
         id: BackendId(u64::from(id)),
@@ -18,26 +22,30 @@
     }
 }
 
-pub fn fleet(count: u32) -> Vec<Backend> {
-    (0..count).map(|i| backend(i, 0, 0)).collect()
+/// Ready backends of one kind in one zone, with ids from 0.
+pub fn backends(count: u32) -> Vec<Backend> {
+    (0..count).map(|id| backend(id, 0, 0)).collect()
 }
 
-pub fn class(effect: Idempotency) -> Class {
+/// A class with a latency objective of 0.4 s.
+pub fn class(idempotency: Idempotency) -> Class {
     Class {
         latency_objective: Micros(400_000),
         objective_per_work: 0.0,
-        idempotency: effect,
+        idempotency,
         priority_weight: 1.0,
         late_weight_fraction: 0.0,
     }
 }
 
-pub fn config(classes: Vec<Class>) -> Config {
+/// The example's configuration with these classes.
+pub fn config_of(classes: Vec<Class>) -> Config {
     Config { classes, ..Config::example() }
 }
 
-pub fn host(cfg: Config, list: Vec<Backend>) -> Host {
-    let mut host = Host::new(cfg, 11);
-    host.members(EndpointListUpdate::Snapshot, list);
+/// A host whose balancer holds this endpoint list.
+pub fn host(config: Config, backends: Vec<Backend>) -> Host {
+    let mut host = Host::new(config, SEED);
+    host.update_endpoints(EndpointListUpdate::Snapshot, backends);
     host
 }
--- a/tests/balancer/support/host.rs
+++ b/tests/balancer/support/host.rs
@@ -1,208 +1,189 @@
 //! A host for one balancer that carries out its actions and checks every rule as it goes.
 
+use super::rules::{check_cancellation, check_deadlines, check_dispatch, check_rejection};
+use super::tracked_request::{Answer, Attempt, AttemptId, TrackedRequest};
 use load_balancer::{
-    Action, AttemptNumber, AttemptResult, Backend, BackendId, BackendState, Balancer, CellId, Class, ClassId,
-    Config, ConfigUpdate, DiscoveryMode, EndpointListUpdate, Event, Idempotency, IdempotencyScope, LogEvent,
-    Micros, Outcome, RequestArrival, RequestId, TenantId, Time, TimerToken, ZoneId,
+    Action, AttemptNumber, AttemptResult, Backend, BackendId, BackendState, Balancer, ClassId, Config,
+    ConfigUpdate, DiscoveryMode, EndpointListUpdate, Event, LogEvent, Micros, Outcome, RequestArrival,
+    RequestId, TenantId, Time, TimerToken,
 };
 use std::collections::BTreeMap;
 
-#[derive(Clone)]
-pub struct Try {
-    pub backend: BackendId,
-    pub zone: ZoneId,
-    pub cell: CellId,
-    pub at: Time,
-    pub outcome: Option<Outcome>,
-}
-
-impl Try {
-    /// No outcome proves yet that it did not run.
-    pub fn may_have_run(&self) -> bool {
-        self.outcome.is_none_or(|o| !o.never_executed())
-    }
-}
-
-pub struct Open {
-    pub class: usize,
-    /// What its class was when it came, and how many attempts were allowed: by that the rules judge it.
-    pub terms: Class,
-    pub max_attempts: u32,
-    pub deadline: Time,
-    pub tries: Vec<Try>,
-    pub streaming: bool,
-    pub answer: Option<&'static str>,
+/// A timer that the balancer has set.
+pub struct PendingTimer {
+    pub due: Time,
+    pub token: TimerToken,
 }
 
+/// A balancer, the requests and backends around it, and a clock that a test moves.
 pub struct Host {
-    pub cfg: Config,
+    pub config: Config,
     pub balancer: Balancer,
     pub now: Time,
-    pub list: BTreeMap<BackendId, Backend>,
-    pub requests: BTreeMap<RequestId, Open>,
-    pub timers: Vec<(Time, TimerToken)>,
-    pub follows: u32,
-    pub cancelled: Vec<(RequestId, usize)>,
+    pub backends: BTreeMap<BackendId, Backend>,
+    pub requests: BTreeMap<RequestId, TrackedRequest>,
+    pub timers: Vec<PendingTimer>,
+    /// How often the balancer has resubscribed.
+    pub resubscriptions: u32,
+    /// Attempts that were cancelled and have not ended yet.
+    pub cancelled: Vec<AttemptId>,
     pub logs: Vec<LogEvent>,
-    pub last: Vec<Action>,
+    /// The actions of the last event.
+    pub last_actions: Vec<Action>,
+    /// Of the requests that arrive from now on.
     pub is_client_retry: bool,
-    pub hint: Option<Micros>,
-    next: u64,
+    /// Of the requests that arrive from now on.
+    pub expected_work: Option<Micros>,
+    last_request_id: u64,
 }
 
 impl Host {
-    pub fn new(cfg: Config, seed: u64) -> Host {
-        let balancer = Balancer::new(cfg.clone(), seed).expect("sound");
+    pub fn new(config: Config, seed: u64) -> Host {
+        let balancer = Balancer::new(config.clone(), seed).expect("sound");
         Host {
-            cfg,
+            config,
             balancer,
             now: Time(1_000_000_000),
-            list: BTreeMap::new(),
+            backends: BTreeMap::new(),
             requests: BTreeMap::new(),
             timers: Vec::new(),
-            follows: 0,
+            resubscriptions: 0,
             cancelled: Vec::new(),
             logs: Vec::new(),
-            last: Vec::new(),
+            last_actions: Vec::new(),
             is_client_retry: false,
-            hint: None,
-            next: 0,
+            expected_work: None,
+            last_request_id: 0,
         }
     }
 
-    pub fn event(&mut self, event: Event) {
+    /// Gives an event to the balancer and carries out its actions.
+    pub fn handle(&mut self, event: Event) {
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
-        self.last = actions.clone();
+        self.last_actions = actions.clone();
         for action in actions {
-            self.apply(action);
+            self.carry_out(action);
         }
     }
 
-    fn apply(&mut self, action: Action) {
+    fn carry_out(&mut self, action: Action) {
         match action {
-            Action::Dispatch { request, backend, .. } => {
-                let r = self.requests.get_mut(&request).expect("dispatch of a known request");
-                assert!(r.answer.is_none(), "sent after the final answer");
-                let b = self.list.get(&backend).expect("a listed backend");
-                assert_eq!(b.state, BackendState::Ready, "sent to a backend that drains or is gone");
-                assert!(r.tries.len() < r.max_attempts as usize, "too many attempts");
-                assert!(
-                    self.cfg.hedging_allowed || r.tries.iter().all(|t| t.outcome.is_some()),
-                    "two at once"
-                );
-                for t in r.tries.iter().filter(|t| t.may_have_run()) {
-                    match r.terms.idempotency {
-                        Idempotency::Idempotent => {}
-                        Idempotency::NonIdempotent => panic!("an unsafe request was sent twice"),
-                        Idempotency::Keyed { scope, window } => {
-                            assert!(self.now <= t.at + window, "a key was repeated after its window");
-                            let same = match scope {
-                                IdempotencyScope::All => true,
-                                IdempotencyScope::Zone => t.zone == b.zone,
-                                IdempotencyScope::Cell => t.cell == b.cell,
-                            };
-                            assert!(same, "a key was repeated outside its scope");
-                        }
-                    }
-                }
-                let (zone, cell, at) = (b.zone, b.cell, self.now);
-                r.tries.push(Try { backend, zone, cell, at, outcome: None });
-            }
+            Action::Dispatch { request, backend, .. } => self.dispatch(request, backend),
             Action::Reject { request } => {
-                let r = self.requests.get_mut(&request).expect("a known request");
-                let ran = r.tries.iter().any(Try::may_have_run);
-                let free = matches!(
-                    r.terms.idempotency,
-                    Idempotency::Idempotent | Idempotency::Keyed { scope: IdempotencyScope::All, .. }
-                );
-                assert!(free || !ran, "refused what may have run");
-                assert!(r.answer.replace("refused").is_none(), "answered twice");
+                let request = self.requests.get_mut(&request).expect("a known request");
+                check_rejection(request);
+                assert!(request.answer.replace(Answer::Rejected).is_none(), "answered twice");
             }
             Action::Fail { request } => {
-                let r = self.requests.get_mut(&request).expect("a known request");
-                assert!(r.answer.replace("failed").is_none(), "answered twice");
+                let request = self.requests.get_mut(&request).expect("a known request");
+                assert!(request.answer.replace(Answer::Failed).is_none(), "answered twice");
             }
             Action::CancelAttempt { request, attempt } => {
-                assert!(self.cfg.can_cancel, "cancel is not allowed");
-                let r = &self.requests[&request];
-                assert!((attempt.0 as usize) < r.tries.len(), "cancelled what was never sent");
-                self.cancelled.push((request, attempt.0 as usize));
+                let number = attempt.0 as usize;
+                check_cancellation(&self.config, &self.requests[&request], number);
+                self.cancelled.push(AttemptId { request, number });
+            }
+            Action::SetTimer { token, delay } => {
+                self.timers.push(PendingTimer { due: self.now + delay, token });
             }
-            Action::SetTimer { token, delay } => self.timers.push((self.now + delay, token)),
             Action::Resubscribe => {
-                assert_ne!(self.cfg.discovery, DiscoveryMode::Push);
-                self.follows += 1;
+                assert_ne!(self.config.discovery, DiscoveryMode::Push);
+                self.resubscriptions += 1;
             }
             Action::Log(event) => self.logs.push(event),
         }
     }
 
-    pub fn members(&mut self, update: EndpointListUpdate, backends: Vec<Backend>) {
+    fn dispatch(&mut self, request: RequestId, backend: BackendId) {
+        let request = self.requests.get_mut(&request).expect("dispatch of a known request");
+        let listed = self.backends.get(&backend).expect("a listed backend");
+        check_dispatch(&self.config, request, listed, self.now);
+        let (zone, cell, at) = (listed.zone, listed.cell, self.now);
+        request.attempts.push(Attempt { backend, zone, cell, at, outcome: None });
+    }
+
+    /// Gives an endpoint list or its changes to the balancer.
+    pub fn update_endpoints(&mut self, update: EndpointListUpdate, backends: Vec<Backend>) {
         if matches!(update, EndpointListUpdate::Snapshot | EndpointListUpdate::Cached) {
-            self.list.values_mut().for_each(|b| b.state = BackendState::Removed);
+            for backend in self.backends.values_mut() {
+                backend.state = BackendState::Removed;
+            }
         }
-        for b in &backends {
-            self.list.insert(b.id, b.clone());
+        for backend in &backends {
+            self.backends.insert(backend.id, backend.clone());
         }
-        self.event(Event::EndpointListChanged { update, backends });
+        self.handle(Event::EndpointListChanged { update, backends });
     }
 
-    /// Puts another configuration in force, in which these classes and tenants were there before.
-    pub fn configure(
+    /// Replaces the configuration by one in which these classes and tenants were there before.
+    pub fn reconfigure_from(
         &mut self, config: Config, previous_classes: Vec<Option<ClassId>>,
         previous_tenants: Vec<Option<TenantId>>,
     ) {
-        self.cfg = config.clone();
-        self.event(Event::ConfigReplaced(Box::new(ConfigUpdate {
+        self.config = config.clone();
+        self.handle(Event::ConfigReplaced(Box::new(ConfigUpdate {
             config,
             previous_classes,
             previous_tenants,
         })));
     }
 
-    /// The same with every class and tenant where it was.
+    /// Replaces the configuration by one in which every class and tenant is where it was.
     pub fn reconfigure(&mut self, config: Config) {
-        let classes = (0..config.classes.len()).map(|c| Some(ClassId(c))).collect();
-        let tenants = (0..config.tenants.len()).map(|t| Some(TenantId(t))).collect();
-        self.configure(config, classes, tenants);
+        let classes = (0..config.classes.len()).map(|class| Some(ClassId(class))).collect();
+        let tenants = (0..config.tenants.len()).map(|tenant| Some(TenantId(tenant))).collect();
+        self.reconfigure_from(config, classes, tenants);
     }
 
-    pub fn arrive(&mut self, class: usize, left: u64) -> RequestId {
-        self.arrive_for(class, left, None)
+    /// A request of no tenant arrives.
+    pub fn arrive(&mut self, class: usize, time_left_us: u64) -> RequestId {
+        self.arrive_for(class, time_left_us, None)
     }
 
-    pub fn arrive_for(&mut self, class: usize, left: u64, tenant: Option<TenantId>) -> RequestId {
-        self.next += 1;
-        let id = RequestId(self.next);
-        let deadline = self.now + Micros(left);
-        let (terms, max_attempts) = (self.cfg.classes[class].clone(), self.cfg.max_attempts);
-        let open =
-            Open { class, terms, max_attempts, deadline, tries: Vec::new(), streaming: false, answer: None };
-        self.requests.insert(id, open);
-        self.event(Event::RequestArrived(RequestArrival {
+    /// A request arrives.
+    pub fn arrive_for(&mut self, class: usize, time_left_us: u64, tenant: Option<TenantId>) -> RequestId {
+        self.last_request_id += 1;
+        let id = RequestId(self.last_request_id);
+        let tracked = TrackedRequest {
+            class,
+            class_on_arrival: self.config.classes[class].clone(),
+            max_attempts: self.config.max_attempts,
+            deadline: self.now + Micros(time_left_us),
+            attempts: Vec::new(),
+            is_streaming: false,
+            answer: None,
+        };
+        self.requests.insert(id, tracked);
+        self.handle(Event::RequestArrived(RequestArrival {
             request: id,
             class: ClassId(class),
             tenant,
-            time_left: Micros(left),
-            expected_work: self.hint,
+            time_left: Micros(time_left_us),
+            expected_work: self.expected_work,
             is_client_retry: self.is_client_retry,
         }));
         id
     }
 
-    /// So many requests at once.
-    pub fn burst(&mut self, count: usize, class: usize, left: u64) -> Vec<RequestId> {
-        (0..count).map(|_| self.arrive(class, left)).collect()
+    /// So many requests arrive at once.
+    pub fn burst(&mut self, count: usize, class: usize, time_left_us: u64) -> Vec<RequestId> {
+        (0..count).map(|_| self.arrive(class, time_left_us)).collect()
     }
 
-    /// One event of each sort about things that were never heard of.
-    pub fn nonsense(&mut self, request: RequestId, attempt: AttemptNumber, token: TimerToken) {
+    /// The client of a request disconnects.
+    pub fn disconnect(&mut self, id: RequestId) {
+        self.requests.get_mut(&id).expect("a known request").answer = Some(Answer::ClientDisconnected);
+        self.handle(Event::ClientDisconnected { request: id });
+    }
+
+    /// Gives one event of each sort to the balancer about things that it does not know.
+    pub fn handle_unknown(&mut self, request: RequestId, attempt: AttemptNumber, token: TimerToken) {
         let (outcome, latency) = (Outcome::ErrorResponse, Micros(5));
-        self.event(Event::TimerFired { token });
-        self.event(Event::ClientDisconnected { request });
-        self.event(Event::ResponseStarted { request, attempt });
-        self.event(Event::AttemptEnded(AttemptResult {
+        self.handle(Event::TimerFired { token });
+        self.handle(Event::ClientDisconnected { request });
+        self.handle(Event::ResponseStarted { request, attempt });
+        self.handle(Event::AttemptEnded(AttemptResult {
             request,
             attempt,
             outcome,
@@ -211,109 +192,119 @@
         }));
     }
 
-    /// Ends an attempt that is out.
-    pub fn end(&mut self, id: RequestId, no: usize, outcome: Outcome) {
+    /// Ends an attempt that is in flight.
+    pub fn end(&mut self, id: RequestId, number: usize, outcome: Outcome) {
         let now = self.now;
-        let Some(r) = self.requests.get_mut(&id) else { return };
-        let Some(t) = r.tries.get_mut(no).filter(|t| t.outcome.is_none()) else { return };
-        t.outcome = Some(outcome);
-        let latency = now - t.at;
-        if outcome == Outcome::Success && r.answer.is_none() {
-            r.answer = Some("served");
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        let in_flight = request.attempts.get_mut(number).filter(|attempt| attempt.outcome.is_none());
+        let Some(attempt) = in_flight else { return };
+        attempt.outcome = Some(outcome);
+        let latency = now - attempt.at;
+        if outcome == Outcome::Success && request.answer.is_none() {
+            request.answer = Some(Answer::Served);
         }
-        let settled = r.answer.is_some();
-        let attempt = AttemptNumber(no as u32);
-        self.event(Event::AttemptEnded(AttemptResult {
-            request: id,
-            attempt,
-            outcome,
-            latency,
-            answered: settled,
-        }));
+        let answered = request.answer.is_some();
+        let attempt = AttemptNumber(number as u32);
+        self.handle(Event::AttemptEnded(AttemptResult { request: id, attempt, outcome, latency, answered }));
     }
 
-    pub fn start_stream(&mut self, id: RequestId, no: usize) {
-        let Some(r) = self.requests.get_mut(&id).filter(|r| r.answer.is_none() && !r.streaming) else {
-            return;
-        };
-        if r.tries.get(no).is_some_and(|t| t.outcome.is_none()) {
-            r.streaming = true;
-            self.event(Event::ResponseStarted { request: id, attempt: AttemptNumber(no as u32) });
+    /// The response to an attempt that is in flight begins to come, and goes on to the client.
+    pub fn start_stream(&mut self, id: RequestId, number: usize) {
+        let is_waiting = |request: &&mut TrackedRequest| request.answer.is_none() && !request.is_streaming;
+        let Some(request) = self.requests.get_mut(&id).filter(is_waiting) else { return };
+        if request.attempts.get(number).is_some_and(|attempt| attempt.outcome.is_none()) {
+            request.is_streaming = true;
+            self.handle(Event::ResponseStarted { request: id, attempt: AttemptNumber(number as u32) });
         }
     }
 
     /// Lets time pass; timers and time-outs fire when due, and every deadline is checked.
-    pub fn advance(&mut self, span: u64) {
-        let until = self.now + Micros(span);
-        while self.now < until {
-            self.now = (self.now + self.cfg.tick).min(until);
-            let (due, rest) = std::mem::take(&mut self.timers).into_iter().partition(|t| t.0 <= self.now);
-            self.timers = rest;
-            let due: Vec<(Time, TimerToken)> = due;
-            for (_, token) in due {
-                self.event(Event::TimerFired { token });
+    pub fn advance(&mut self, duration_us: u64) {
+        let end = self.now + Micros(duration_us);
+        while self.now < end {
+            self.now = (self.now + self.config.tick).min(end);
+            self.fire_timers();
+            for AttemptId { request, number } in std::mem::take(&mut self.cancelled) {
+                self.end(request, number, Outcome::Cancelled);
             }
-            for (id, no) in std::mem::take(&mut self.cancelled) {
-                self.end(id, no, Outcome::Cancelled);
-            }
-            for (id, no) in self.out() {
-                let r = &self.requests[&id];
-                if r.deadline <= self.now && !r.streaming {
-                    self.end(id, no, Outcome::TimedOut);
-                }
-            }
-            for (id, r) in &self.requests {
-                let open = r.answer.is_none() && !r.streaming;
-                assert!(!open || self.now < r.deadline + Micros(16_000), "no answer in time for {id:?}");
+            self.time_out_attempts();
+            check_deadlines(&self.requests, self.now);
+        }
+    }
+
+    fn fire_timers(&mut self) {
+        let timers = std::mem::take(&mut self.timers);
+        let (due, pending): (Vec<_>, Vec<_>) = timers.into_iter().partition(|timer| timer.due <= self.now);
+        self.timers = pending;
+        for timer in due {
+            self.handle(Event::TimerFired { token: timer.token });
+        }
+    }
+
+    fn time_out_attempts(&mut self) {
+        for AttemptId { request: id, number } in self.in_flight() {
+            let request = &self.requests[&id];
+            if request.deadline <= self.now && !request.is_streaming {
+                self.end(id, number, Outcome::TimedOut);
             }
         }
     }
 
-    /// An ejection of that backend was logged.
+    /// Whether an ejection of that backend was logged.
     pub fn has_ejected(&self, id: BackendId) -> bool {
         let is_of =
             |event: &LogEvent| matches!(event, LogEvent::BackendEjected { backend, .. } if *backend == id);
         self.logs.iter().any(is_of)
     }
 
-    /// An ejection was logged.
+    /// Whether an ejection was logged.
     pub fn has_ejected_any(&self) -> bool {
         self.logs.iter().any(|event| matches!(event, LogEvent::BackendEjected { .. }))
     }
 
-    pub fn sent_to(&self, id: RequestId) -> Vec<u32> {
-        self.requests[&id].tries.iter().map(|t| t.backend.0 as u32).collect()
+    /// The backends of a request's attempts.
+    pub fn dispatched_to(&self, id: RequestId) -> Vec<u32> {
+        self.requests[&id].attempts.iter().map(|attempt| attempt.backend.0 as u32).collect()
     }
 
-    /// Serves everything that is out, each after `span`.
-    pub fn serve_all(&mut self, span: u64) {
-        self.advance(span);
+    /// The answer of a request, if it has one.
+    pub fn answer(&self, id: RequestId) -> Option<Answer> {
+        self.requests[&id].answer
+    }
+
+    /// Serves everything that is in flight after this time.
+    pub fn serve_all(&mut self, duration_us: u64) {
+        self.advance(duration_us);
         self.end_all(|_| Outcome::Success);
     }
 
-    /// Ends everything that is out, each as its backend would.
-    pub fn end_all(&mut self, mut outcome: impl FnMut(u32) -> Outcome) {
-        for (id, no) in self.out() {
-            let backend = self.sent_to(id)[no];
-            self.end(id, no, outcome(backend));
+    /// Ends everything that is in flight, each attempt as its backend would.
+    pub fn end_all(&mut self, mut outcome_of: impl FnMut(u32) -> Outcome) {
+        for AttemptId { request, number } in self.in_flight() {
+            let backend = self.dispatched_to(request)[number];
+            self.end(request, number, outcome_of(backend));
         }
     }
 
-    pub fn out(&self) -> Vec<(RequestId, usize)> {
-        let each = self.requests.iter().flat_map(|(id, r)| {
-            r.tries.iter().enumerate().filter(|(_, t)| t.outcome.is_none()).map(|(no, _)| (*id, no))
-        });
-        each.collect()
+    /// The attempts that are in flight.
+    pub fn in_flight(&self) -> Vec<AttemptId> {
+        let of_request = |(id, request): (&RequestId, &TrackedRequest)| {
+            let attempts = request.attempts.iter().enumerate();
+            let in_flight = attempts.filter(|(_, attempt)| attempt.outcome.is_none());
+            in_flight.map(|(number, _)| AttemptId { request: *id, number }).collect::<Vec<_>>()
+        };
+        self.requests.iter().flat_map(of_request).collect()
     }
 }
 
-/// Requests one by one, each served after a time that may depend on its backend.
-pub fn serve(host: &mut Host, count: usize, class: usize, time: impl Fn(u32) -> u64) -> Vec<u32> {
+/// Serves requests one by one, each after a time that may depend on its backend; returns their backends.
+pub fn serve(host: &mut Host, count: usize, class: usize, duration_us: impl Fn(u32) -> u64) -> Vec<u32> {
     let mut chosen = Vec::new();
     for _ in 0..count {
         let id = host.arrive(class, 900_000);
-        chosen.extend(host.sent_to(id));
-        host.advance(host.sent_to(id).first().map_or(5_000, |b| time(*b)));
+        let dispatched_to = host.dispatched_to(id);
+        chosen.extend(&dispatched_to);
+        host.advance(dispatched_to.first().map_or(5_000, |backend| duration_us(*backend)));
         host.end(id, 0, Outcome::Success);
     }
     chosen
