--- a/tests/discovery/start_times.rs
+++ b/tests/discovery/start_times.rs
@@ -1,83 +1,92 @@
-//! Where starts are placed that the list tells in a wall clock's time, by a process whose clock has nothing to do with
-//! that one.
+//! Start times of backends, which the list has in the time of a wall clock that may differ from the process's own.
 
 use load_balancer::discovery::start_times::StartTimes;
 use load_balancer::discovery::Target;
 use load_balancer::{Backend, BackendId, BackendState, Time};
 
 const SECOND: u64 = 1_000_000;
-/// When the process starts, by its own clock.
-const START: u64 = 10_000 * SECOND;
+/// When the proxy starts, by its own clock.
+const PROXY_START: u64 = 10_000 * SECOND;
 
-/// A line about a backend that started at that second of the list's clock; 0 is long ago.
-fn line(id: u64, started: u64) -> Target {
-    let started_at = Some(Time(started * SECOND)).filter(|t| t.0 > 0);
+/// An endpoint that started at that second of the list's clock; 0 is long ago.
+fn endpoint(id: u64, started: u64) -> Target {
+    let started_at = Some(Time(started * SECOND)).filter(|time| time.0 > 0);
     let backend = Backend { id: BackendId(id), state: BackendState::Ready, started_at, ..Backend::default() };
     Target { backend, address: ([127, 0, 0, 1], 1).into() }
 }
 
-/// The ages, in seconds, that the backends of a list have so many seconds after the start.
-fn ages(starts: &mut StartTimes, at: u64, whole: bool, mut lines: Vec<Target>) -> Vec<Option<u64>> {
-    let now = Time(START + at * SECOND);
-    starts.place(now, whole, &mut lines);
-    lines.iter().map(|l| l.backend.started_at.map(|b| (now - b).0 / SECOND)).collect()
+/// The ages, in seconds, that the backends of a list have so many seconds after the start of the proxy.
+fn ages(
+    start_times: &mut StartTimes, at: u64, is_snapshot: bool, mut endpoints: Vec<Target>,
+) -> Vec<Option<u64>> {
+    let now = Time(PROXY_START + at * SECOND);
+    start_times.place(now, is_snapshot, &mut endpoints);
+    let age = |target: &Target| target.backend.started_at.map(|started_at| (now - started_at).0 / SECOND);
+    endpoints.iter().map(age).collect()
 }
 
-/// The list's clock as the process starts: like its own, much before it, much after.
-const CLOCKS: [u64; 3] = [START / SECOND, 5_000, 50_000];
+/// The list's clock as the proxy starts: like its own, much earlier, much later.
+const CLOCKS: [u64; 3] = [PROXY_START / SECOND, 5_000, 50_000];
 
+/// Guards against a new backend that passes for warm because its start time is by another clock.
 #[test]
 fn news_started_no_longer_ago_than_the_list_without_it() {
     for clock in CLOCKS {
-        for whole in [true, false] {
-            let mut starts = StartTimes::default();
-            assert_eq!(ages(&mut starts, 0, true, vec![line(1, 0)]), [None]);
-            assert_eq!(ages(&mut starts, 10, false, vec![]), []);
-            // Told as started long before the list that lacks it, whatever it means: no longer ago than that.
-            let lines = |new: u64| if whole { vec![line(1, 0), line(2, new)] } else { vec![line(2, new)] };
-            let age = ages(&mut starts, 12, whole, lines(clock - 100)).pop().flatten();
+        for is_snapshot in [true, false] {
+            let mut start_times = StartTimes::default();
+            assert_eq!(ages(&mut start_times, 0, true, vec![endpoint(1, 0)]), [None]);
+            assert_eq!(ages(&mut start_times, 10, false, vec![]), []);
+            // It started long before the list that lacks it by the list's clock: no longer ago than that list.
+            let endpoints = |started: u64| match is_snapshot {
+                true => vec![endpoint(1, 0), endpoint(2, started)],
+                false => vec![endpoint(2, started)],
+            };
+            let age = ages(&mut start_times, 12, is_snapshot, endpoints(clock - 100)).pop().flatten();
             assert!(age <= Some(2), "{clock}: {age:?}");
             // Its process starts again.
-            assert_eq!(ages(&mut starts, 14, false, vec![]), []);
-            let age = ages(&mut starts, 15, whole, lines(clock + 14)).pop().flatten();
+            assert_eq!(ages(&mut start_times, 14, false, vec![]), []);
+            let age = ages(&mut start_times, 15, is_snapshot, endpoints(clock + 14)).pop().flatten();
             assert!(age <= Some(1), "{clock}: {age:?}");
         }
     }
 }
 
+/// Guards against ages of a first list that rest on a wall clock which may be wrong.
 #[test]
 fn a_first_list_tells_only_how_much_longer_ago_the_others_started_than_the_last() {
     for clock in CLOCKS {
-        let mut starts = StartTimes::default();
-        let lines = vec![line(1, clock - 100), line(2, clock - 40), line(3, clock - 30), line(4, 0)];
-        assert_eq!(ages(&mut starts, 0, true, lines), [Some(70), Some(10), Some(0), None]);
-        // What is placed stays so, by whatever list it is named again; what is news is set beside it.
-        let lines = vec![line(3, clock - 30), line(2, clock - 40), line(5, clock + 4)];
-        assert_eq!(ages(&mut starts, 5, true, lines), [Some(5), Some(15), Some(0)]);
+        let mut start_times = StartTimes::default();
+        let endpoints =
+            vec![endpoint(1, clock - 100), endpoint(2, clock - 40), endpoint(3, clock - 30), endpoint(4, 0)];
+        assert_eq!(ages(&mut start_times, 0, true, endpoints), [Some(70), Some(10), Some(0), None]);
+        // A start time once placed stays, whatever list names it again; new ones are placed beside it.
+        let endpoints = vec![endpoint(3, clock - 30), endpoint(2, clock - 40), endpoint(5, clock + 4)];
+        assert_eq!(ages(&mut start_times, 5, true, endpoints), [Some(5), Some(15), Some(0)]);
     }
 }
 
-/// Where the clocks go alike, a start is placed late by no more than the news of it took, at the least.
+/// Guards against start times that are placed later than the quickest update shows.
 #[test]
 fn starts_are_placed_by_the_quickest_news() {
     for clock in CLOCKS {
-        let mut starts = StartTimes::default();
-        ages(&mut starts, 0, true, vec![line(1, 0)]);
-        assert_eq!(ages(&mut starts, 21, false, vec![line(2, clock + 20)]), [Some(0)]);
-        assert_eq!(ages(&mut starts, 33, false, vec![line(3, clock + 30)]), [Some(2)]);
+        let mut start_times = StartTimes::default();
+        ages(&mut start_times, 0, true, vec![endpoint(1, 0)]);
+        assert_eq!(ages(&mut start_times, 21, false, vec![endpoint(2, clock + 20)]), [Some(0)]);
+        assert_eq!(ages(&mut start_times, 33, false, vec![endpoint(3, clock + 30)]), [Some(2)]);
     }
 }
 
+/// Guards against start times of removed backends that stay, in memory and for their successors.
 #[test]
 fn a_backend_that_is_gone_is_forgotten() {
-    let mut starts = StartTimes::default();
-    ages(&mut starts, 0, true, vec![line(1, 0), line(2, 900)]);
-    let gone = |mut line: Target| {
-        line.backend.state = BackendState::Removed;
-        line
+    let mut start_times = StartTimes::default();
+    ages(&mut start_times, 0, true, vec![endpoint(1, 0), endpoint(2, 900)]);
+    let removed = |mut target: Target| {
+        target.backend.state = BackendState::Removed;
+        target
     };
-    ages(&mut starts, 50, false, vec![gone(line(2, 900))]);
-    assert_eq!(ages(&mut starts, 60, false, vec![line(2, 900)]), [Some(10)]);
-    ages(&mut starts, 70, true, vec![line(1, 0)]);
-    assert_eq!(ages(&mut starts, 75, false, vec![line(2, 900)]), [Some(5)]);
+    ages(&mut start_times, 50, false, vec![removed(endpoint(2, 900))]);
+    assert_eq!(ages(&mut start_times, 60, false, vec![endpoint(2, 900)]), [Some(10)]);
+    ages(&mut start_times, 70, true, vec![endpoint(1, 0)]);
+    assert_eq!(ages(&mut start_times, 75, false, vec![endpoint(2, 900)]), [Some(5)]);
 }
--- a/tests/simulator_adapter.rs
+++ b/tests/simulator_adapter.rs
@@ -1,4 +1,4 @@
-//! The adapter on wire lines of our own.
+//! The simulator adapter: what it writes for the lines that it reads.
 
 use std::io::Write;
 use std::process::{Command, Stdio};
@@ -22,8 +22,16 @@
 ["VIEW","proxy-3",0,4,"warm_copy"]
 "#;
 
-/// Runs the adapter on `input`; gives its output, its error text and whether it ended well.
-fn run(input: &str) -> (String, String, bool) {
+/// How a run of the adapter ended.
+#[derive(Debug, PartialEq)]
+struct Run {
+    output: String,
+    error: String,
+    is_success: bool,
+}
+
+/// Runs the adapter on `input`.
+fn run(input: &str) -> Run {
     let mut child = Command::new(env!("CARGO_BIN_EXE_simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
@@ -35,15 +43,18 @@
     drop(stdin);
     let out = child.wait_with_output().unwrap();
     let text = |bytes| String::from_utf8(bytes).unwrap();
-    (text(out.stdout), text(out.stderr), out.status.success())
+    Run { output: text(out.stdout), error: text(out.stderr), is_success: out.status.success() }
 }
 
+/// Guards against output without input, and an end of input that passes for a failure.
 #[test]
 fn an_empty_batch_gets_an_empty_reply_and_the_end_of_input_is_clean() {
-    assert_eq!(run("[\"TICK\",5]\n[\"END\"]\n"), ("[\"YIELD\"]\n".into(), String::new(), true));
-    assert_eq!(run(""), (String::new(), String::new(), true));
+    let clean = |output: &str| Run { output: output.into(), error: String::new(), is_success: true };
+    assert_eq!(run("[\"TICK\",5]\n[\"END\"]\n"), clean("[\"YIELD\"]\n"));
+    assert_eq!(run(""), clean(""));
 }
 
+/// Guards against a request that is dispatched twice, or stays open after its answer.
 #[test]
 fn a_request_is_handed_off_and_its_answer_closes_it() {
     let job = r#"["JOB_IN","proxy-3","00000000000000ab",null,900000,null,"north",0,"read"]"#;
@@ -52,13 +63,14 @@
         "[\"TICK\",1000]\n{}{LIST}[\"END\"]\n[\"TICK\",2000]\n{job}\n[\"END\"]\n[\"TICK\",3000]\n{done}\n[\"END\"]\n",
         create(SETTINGS)
     );
-    let (out, err, good) = run(&input);
-    assert!(good, "{err}");
+    let Run { output, error, is_success } = run(&input);
+    assert!(is_success, "{error}");
     let sent = "[\"HAND_OFF\",\"proxy-3\",\"00000000000000ab\",\"10.0.0.1:80\",0]";
-    assert_eq!(out.matches(sent).count(), 1, "{out}");
-    assert_eq!(out.lines().filter(|l| *l == "[\"YIELD\"]").count(), 3);
+    assert_eq!(output.matches(sent).count(), 1, "{output}");
+    assert_eq!(output.lines().filter(|l| *l == "[\"YIELD\"]").count(), 3);
 }
 
+/// Guards against a request without an answer while no backend is known.
 #[test]
 fn with_no_backend_a_request_is_refused_in_time() {
     let job = r#"["JOB_IN","proxy-3","00000000000000ab",null,900000,null,"north",0,"pay"]"#;
@@ -66,21 +78,22 @@
     for (at, token) in (1..200).map(|n| (1000 + n * 5000, n)) {
         input += &format!("[\"TICK\",{at}]\n[\"TIMEOUT_FIRED\",\"proxy-3\",{token}]\n[\"END\"]\n");
     }
-    let (out, err, good) = run(&input);
-    assert!(good, "{err}");
-    assert_eq!(out.matches("[\"BOUNCE\",\"proxy-3\",\"00000000000000ab\",0]").count(), 1, "{out}");
+    let Run { output, error, is_success } = run(&input);
+    assert!(is_success, "{error}");
+    assert_eq!(output.matches("[\"BOUNCE\",\"proxy-3\",\"00000000000000ab\",0]").count(), 1, "{output}");
 }
 
+/// Guards against the state of a killed instance that stays.
 #[test]
 fn a_killed_instance_is_forgotten_and_may_come_again() {
     let (first, kill) = (create(SETTINGS), "[\"KILLED\",\"proxy-3\"]\n");
-    let (out, _, good) = run(&format!("[\"TICK\",5]\n{first}{kill}{first}{LIST}[\"END\"]\n"));
-    assert!(good && out.ends_with("[\"YIELD\"]\n"), "{out}");
-    let (_, err, good) = run(&format!("[\"TICK\",5]\n{first}{kill}{LIST}[\"END\"]\n"));
-    assert!(!good && err.contains("known instance"), "{err}");
+    let Run { output, is_success, .. } = run(&format!("[\"TICK\",5]\n{first}{kill}{first}{LIST}[\"END\"]\n"));
+    assert!(is_success && output.ends_with("[\"YIELD\"]\n"), "{output}");
+    let Run { error, is_success, .. } = run(&format!("[\"TICK\",5]\n{first}{kill}{LIST}[\"END\"]\n"));
+    assert!(!is_success && error.contains("known instance"), "{error}");
 }
 
-/// Each is told with its line number and what was expected, and ends the process.
+/// Guards against malformed lines that are skipped, or reported without line number and expectation.
 #[test]
 fn malformed_lines_are_told_and_end_the_process() {
     let job = |rest: &str| format!("[\"JOB_IN\",\"proxy-3\",{rest}]");
@@ -110,15 +123,17 @@
     ];
     for (line, expected) in cases {
         let line: String = line;
-        let (_, err, good) = run(&format!("[\"TICK\",1]\n{}{LIST}{line}\n[\"END\"]\n", create(SETTINGS)));
-        assert!(!good, "accepted {line}");
-        assert!(err.contains("line 5:") && err.contains(expected), "{line}: {err}");
-        assert!(!err.contains("panicked"), "{err}");
+        let Run { error, is_success, .. } =
+            run(&format!("[\"TICK\",1]\n{}{LIST}{line}\n[\"END\"]\n", create(SETTINGS)));
+        assert!(!is_success, "accepted {line}");
+        assert!(error.contains("line 5:") && error.contains(expected), "{line}: {error}");
+        assert!(!error.contains("panicked"), "{error}");
     }
-    let (_, err, good) = run("[\"END\"]\n");
-    assert!(!good && err.contains("TICK first"), "{err}");
+    let Run { error, is_success, .. } = run("[\"END\"]\n");
+    assert!(!is_success && error.contains("TICK first"), "{error}");
 }
 
+/// Guards against invalid settings that end the whole process, or are reported without their key.
 #[test]
 fn bad_settings_are_a_fault_of_that_instance_that_names_the_key() {
     let cases = [
@@ -136,8 +151,9 @@
     for (from, to, key) in cases {
         assert!(SETTINGS.contains(from));
         let settings = SETTINGS.replacen(from, to, 1);
-        let (out, err, good) = run(&format!("[\"TICK\",1]\n{}{LIST}[\"END\"]\n", create(&settings)));
-        assert!(good, "{err}");
-        assert!(out.starts_with("[\"BROKEN\",\"proxy-3\",") && out.contains(key), "{to}: {out}");
+        let Run { output, error, is_success } =
+            run(&format!("[\"TICK\",1]\n{}{LIST}[\"END\"]\n", create(&settings)));
+        assert!(is_success, "{error}");
+        assert!(output.starts_with("[\"BROKEN\",\"proxy-3\",") && output.contains(key), "{to}: {output}");
     }
 }
