--- a/tests/balancer/concurrency_limit.rs
+++ b/tests/balancer/concurrency_limit.rs
@@ -13,7 +13,7 @@
     assert!((2..=14).contains(&count), "{count} in flight at 22 backends, 4 of 11 shares would be 8");
 }
 
-/// Guards against requests that are rejected beside idle backends, as many proxies share each backend's limit.
+/// Guards against requests rejected beside idle backends, as many proxies share each backend's limit.
 #[test]
 fn with_many_proxies_no_backend_is_closed_and_the_pool_bounds_the_whole() {
     // A limit of 4 at each of 40 backends is 0.5 for each of 320 proxies: a few may be in flight.
@@ -41,7 +41,7 @@
     assert_eq!(host.in_flight().len(), before, "the room made is used at once");
 }
 
-/// Guards against a limit that takes requests on the network for load, and rejects others beside idle backends.
+/// Guards against a limit that takes requests on the network for load at their backend.
 #[test]
 fn requests_on_a_long_way_leave_room_for_others() {
     // Ten requests' work fits into the time on the network to such a backend and back.
--- a/tests/balancer/fleet.rs
+++ b/tests/balancer/fleet.rs
@@ -84,7 +84,7 @@
     calls
 }
 
-/// Guards against a herd of proxies that resubscribe at one moment to a service which takes a few calls a second.
+/// Guards against a herd of proxies that resubscribe at one moment to a slow service.
 #[test]
 fn after_a_loss_a_large_fleet_spreads_its_calls_and_a_small_one_calls_soon() {
     let many = resubscriptions(100);
@@ -92,7 +92,7 @@
     assert!(many[..20].iter().sum::<u32>() >= 20, "some resubscribe soon: {many:?}");
     let few = resubscriptions(3);
     assert_eq!(few[..2].iter().sum::<u32>(), 3, "{few:?}");
-    // A change counts as notified 6 s after discovery could be reached: half of that is for its queue and answer.
+    // A change counts as notified 6 s after discovery could be reached: half is for its queue and answer.
     let fleet = resubscriptions(470);
     assert_eq!(fleet[..30].iter().sum::<u32>(), 470, "{fleet:?}");
     assert!(fleet.iter().all(|calls| *calls <= 32), "{fleet:?}");
@@ -129,7 +129,7 @@
 /// Guards against one outlier that leaves its whole kind idle while requests to the other are rejected.
 #[test]
 fn one_ill_backend_does_not_make_its_kind_look_slow_to_the_fleet() {
-    // One proxy's split varies by chance, from a fifth to four fifths without an outlier: the sum is what counts.
+    // One proxy's split varies by chance, from a fifth to four fifths: the sum is what counts.
     let backends: Vec<Backend> = (0..12).map(|id| backend(id, 0, id % 2)).collect();
     let (mut to_slow_kind, mut all) = (0, 0);
     for mut host in fleet(40, &backends) {
@@ -210,11 +210,11 @@
     times
 }
 
-/// Guards against a fleet of any size that overloads a warming backend, the only one with room beside full ones.
+/// Guards against a fleet that overloads a warming backend, the only one with room beside full ones.
 #[test]
 fn a_cold_backend_is_not_pushed_over_by_a_fleet_of_any_size() {
-    // Sixty backends that serve 50 a second each are sent two thirds of that, and from the moment in which one
-    // starts again 4,000 a second.
+    // Sixty backends that serve 50 a second each are sent two thirds of that, and from the moment in which
+    // one starts again 4,000 a second.
     for proxies in [12, 100, 400, 1000] {
         let backends: Vec<Backend> = (0..60).map(|id| backend(id, 0, id % 3)).collect();
         let config = Config {
--- a/tests/balancer/fleet_growth.rs
+++ b/tests/balancer/fleet_growth.rs
@@ -1,5 +1,6 @@
-//! What a proxy needs in a fleet three times as large with sixteen times the backends, beside what it needs in its own.
-//! The traffic of a proxy stays the same. Balancers alone, with a pool of connections as the proxy keeps it.
+//! What a proxy needs in a fleet three times as large with sixteen times the backends, beside what it needs
+//! in its own. The traffic of a proxy stays the same. Balancers alone, with a pool of connections as the
+//! proxy keeps it.
 
 use crate::support::{backend, Host};
 use load_balancer::{Backend, BackendState, Config, EndpointListUpdate, Micros, Outcome, RequestId};
--- a/tests/balancer/fleet_slow_start.rs
+++ b/tests/balancer/fleet_slow_start.rs
@@ -1,6 +1,7 @@
-//! What all proxies of a fleet together send to backends that have just started, beside what the rule allows: N is
-//! what the settings allow a warming backend in an overload window, and 2 x root of N + 2 more is chance. Balancers
-//! alone: each knows nothing of the others, and their attempts all take the time that one request takes a warm backend.
+//! What all proxies of a fleet together send to backends that have just started, beside what the rule allows:
+//! N is what the settings allow a warming backend in an overload window, and 2 x root of N + 2 more is
+//! chance. Balancers alone: each knows nothing of the others, and their attempts all take the time that one
+//! request takes a warm backend.
 
 use crate::support::{backend, AttemptId, Host};
 use load_balancer::{Backend, Config, EndpointListUpdate, Micros, Outcome, Time};
@@ -221,7 +222,7 @@
     scenarios
 }
 
-/// Runs every fleet and load with so many seeds each; prints the worst ratio of each and returns the worst of all.
+/// Runs every fleet and load with so many seeds; prints the worst ratio of each, returns that of all.
 fn worst_of_all(proxies: &[u32], loads: &[f64], seeds: u64) -> f64 {
     let scenarios = scenarios(proxies, loads);
     let run = |scenario: &Scenario| {
@@ -244,8 +245,8 @@
     results[0].1.ratio
 }
 
-/// Guards against proxies that together overload a warming backend. `FALL_SEEDS` runs more seeds than the few that
-/// every change has to pass.
+/// Guards against proxies that together overload a warming backend. `FALL_SEEDS` runs more seeds than the few
+/// that every change has to pass.
 #[test]
 fn no_fleet_pushes_a_cold_backend_over() {
     let seeds = std::env::var("FALL_SEEDS").ok().and_then(|seeds| seeds.parse().ok()).unwrap_or(1);
--- a/tests/balancer/invariants.rs
+++ b/tests/balancer/invariants.rs
@@ -50,14 +50,17 @@
         Just(EndpointListUpdate::SubscriptionLost)
     ];
     prop_oneof![
-        10 => (0..6usize, 0..2_000_000u64, proptest::option::of(0..2usize)).prop_map(|(class, time_left_us, tenant)| Step::Arrive(class, time_left_us, tenant)),
+        10 => (0..6usize, 0..2_000_000u64, proptest::option::of(0..2usize))
+            .prop_map(|(class, time_left_us, tenant)| Step::Arrive(class, time_left_us, tenant)),
         8 => (0..64usize, outcome()).prop_map(|(n, outcome)| Step::End(n, outcome)),
         1 => (0..64usize).prop_map(Step::Stream),
         1 => (0..64usize).prop_map(Step::Disconnect),
         8 => (0..150_000u64).prop_map(Step::Advance),
-        2 => (0..8u32, state, any::<bool>()).prop_map(|(id, state, restarted)| Step::Endpoint(id, state, restarted)),
+        2 => (0..8u32, state, any::<bool>())
+            .prop_map(|(id, state, restarted)| Step::Endpoint(id, state, restarted)),
         1 => (0..256u32, update).prop_map(|(mask, update)| Step::List(mask, update)),
-        1 => (0..200u64, 0..9u32, any::<u64>()).prop_map(|(request, attempt, token)| Step::UnknownEvents(request, attempt, token)),
+        1 => (0..200u64, 0..9u32, any::<u64>())
+            .prop_map(|(request, attempt, token)| Step::UnknownEvents(request, attempt, token)),
     ]
 }
 
--- a/tests/balancer/outlier_detection.rs
+++ b/tests/balancer/outlier_detection.rs
@@ -119,7 +119,7 @@
 fn where_all_err_alike_none_is_shut_out_but_one_that_errs_far_more_is() {
     let mut host = host(config_of(vec![class(Idempotency::NonIdempotent)]), backends(9));
     let mut random = Pcg32::seed_from_u64(11);
-    // Half a second of requests; the fourth backend fails with another probability. Returns how often each was used.
+    // Half a second of requests; the fourth backend has its own failure rate. Counts the use of each.
     let mut run = |host: &mut Host, failure_rate: f64| {
         let mut used = [0; 9];
         for _ in 0..50 {
--- a/tests/balancer/reconfiguration.rs
+++ b/tests/balancer/reconfiguration.rs
@@ -137,7 +137,7 @@
     assert_eq!(serve(&mut host, 5, 0, |_| 20_000).len(), 5);
 }
 
-/// Guards against a class that loses its mean latency, which shows in how long before its objective it is given up.
+/// Guards against a class that loses its mean latency, by which its requests are given up in time.
 #[test]
 fn what_was_learned_of_a_class_goes_with_its_name() {
     let given_up_after = |previous_class: Option<usize>| {
--- a/tests/balancer/reconfiguration_invariants.rs
+++ b/tests/balancer/reconfiguration_invariants.rs
@@ -39,7 +39,8 @@
     let state = prop_oneof![3 => Just(BackendState::Ready), 1 => Just(BackendState::Draining)];
     let class_names = || proptest::collection::vec(0..6usize, 1..7);
     prop_oneof![
-        10 => (0..6usize, 0..2_000_000u64).prop_map(|(class, time_left_us)| Step::Arrive(class, time_left_us)),
+        10 => (0..6usize, 0..2_000_000u64)
+            .prop_map(|(class, time_left_us)| Step::Arrive(class, time_left_us)),
         8 => (0..64usize, outcome()).prop_map(|(n, outcome)| Step::End(n, outcome)),
         1 => (0..64usize).prop_map(Step::Disconnect),
         8 => (0..150_000u64).prop_map(Step::Advance),
--- a/tests/balancer/source_layout.rs
+++ b/tests/balancer/source_layout.rs
@@ -1,4 +1,4 @@
-//! The modules of the balancer stay small enough to review file by file, and the deploy file names all of them.
+//! The modules of the balancer stay small enough for review, and the deploy file names all of them.
 
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
--- a/tests/discovery/start_times.rs
+++ b/tests/discovery/start_times.rs
@@ -1,4 +1,4 @@
-//! Start times of backends, which the list has in the time of a wall clock that may differ from the process's own.
+//! Start times of backends, which the list has by a wall clock that may differ from the proxy's.
 
 use load_balancer::discovery::start_times::StartTimes;
 use load_balancer::discovery::Target;
@@ -36,7 +36,7 @@
             let mut start_times = StartTimes::default();
             assert_eq!(ages(&mut start_times, 0, true, vec![endpoint(1, 0)]), [None]);
             assert_eq!(ages(&mut start_times, 10, false, vec![]), []);
-            // It started long before the list that lacks it by the list's clock: no longer ago than that list.
+            // By its clock it started long before the list that lacks it: no longer ago than that.
             let endpoints = |started: u64| match is_snapshot {
                 true => vec![endpoint(1, 0), endpoint(2, started)],
                 false => vec![endpoint(2, started)],
--- a/tests/discovery/watch.rs
+++ b/tests/discovery/watch.rs
@@ -66,7 +66,7 @@
     caller.try_write(b"HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n").expect("sent");
 }
 
-/// Guards against a call past the fleet's backoff, because a resubscription during a call is kept until it fails.
+/// Guards against a resubscription during a call that is kept, and skips the backoff after its failure.
 #[tokio::test]
 async fn a_wish_repeated_while_a_call_is_out_is_not_kept_for_after_it() {
     let scenario = async {
--- a/tests/proxy/backend_answers.rs
+++ b/tests/proxy/backend_answers.rs
@@ -17,8 +17,8 @@
     attempts: usize,
 }
 
-/// After the warm-up the first request of the class is answered with `first`, every other is served. The warm-up does
-/// not count: on a loaded machine one of its requests may be sent twice.
+/// After the warm-up the first request of the class is answered with `first`, every other is served. The
+/// warm-up does not count: on a loaded machine one of its requests may be sent twice.
 fn outcome_of(first: fn() -> Reply, class: &'static str) -> Outcome {
     assert_ne!(class, "read", "the class of the warm-up");
     let received = Arc::new(AtomicUsize::new(0));
@@ -89,7 +89,9 @@
         warm_up(&proxy);
         wait_until("a malformed answer", || send_request(&proxy, &request("pay", 7000)).status() == 502);
         let before = malformed_once.requests().len();
-        (0..20).for_each(|_| assert_eq!(send_request(&proxy, &request("read", 7000)).status(), 200));
+        for _ in 0..20 {
+            assert_eq!(send_request(&proxy, &request("read", 7000)).status(), 200);
+        }
         assert!(malformed_once.requests().len() > before, "ejected after {text:.60}");
         assert!(!proxy.log().contains("backend ejected"), "{}", proxy.log());
     }
@@ -104,12 +106,16 @@
         [endpoint("a", refusing_address(), "ready", 0), endpoint("b", backend.address, "ready", 0)];
     let proxy = ProxyProcess::start(&config(discovery.address, &endpoints));
     // The first that meets it may find no retry budget yet; after that the balancer ejects it.
-    (0..10).for_each(|_| assert_ne!(send_request(&proxy, &request("pay", 7000)).status(), 502));
-    (0..10).for_each(|_| assert_eq!(send_request(&proxy, &request("pay", 7000)).status(), 200));
+    for _ in 0..10 {
+        assert_ne!(send_request(&proxy, &request("pay", 7000)).status(), 502);
+    }
+    for _ in 0..10 {
+        assert_eq!(send_request(&proxy, &request("pay", 7000)).status(), 200);
+    }
 }
 
-/// A backend that writes a second answer on a connection as soon as the next request comes within 4 ms of the first;
-/// counts how often it did.
+/// A backend that writes a second answer on a connection as soon as the next request comes within 4 ms of the
+/// first; counts how often it did.
 fn start_answering_twice() -> (SocketAddr, Arc<AtomicUsize>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
--- a/tests/proxy/capacity.rs
+++ b/tests/proxy/capacity.rs
@@ -37,7 +37,9 @@
     config["limits"]["sockets"] = json!(64);
     let proxy = ProxyProcess::start(&config);
     for round in 0..3 {
-        (0..60).for_each(|_| assert_eq!(send_request(&proxy, &request("read", 7000)).status(), 200));
+        for _ in 0..60 {
+            assert_eq!(send_request(&proxy, &request("read", 7000)).status(), 200);
+        }
         let mut clients: Vec<Client> = (0..8).map(|_| Client::open(proxy.address)).collect();
         let began = Instant::now();
         for client in &mut clients {
@@ -90,5 +92,7 @@
     let clients: Vec<Client> = (0..60).map(|_| Client::open(proxy.address)).collect();
     wait_until("a failed accept", || proxy.log().contains("accept failed "));
     drop(clients);
-    (0..5).for_each(|_| assert_eq!(send_request(&proxy, &request("read", 20_000)).status(), 200));
+    for _ in 0..5 {
+        assert_eq!(send_request(&proxy, &request("read", 20_000)).status(), 200);
+    }
 }
--- a/tests/proxy/client_disconnects.rs
+++ b/tests/proxy/client_disconnects.rs
@@ -1,5 +1,5 @@
-//! Clients that disconnect, alone or many at once: no attempt of theirs begins afterwards, retries and the end of the
-//! process included, and it shows at once, not when their time is up.
+//! Clients that disconnect, alone or many at once: no attempt of theirs begins afterwards, retries and the
+//! end of the process included, and it shows at once, not when their time is up.
 
 use crate::support::{
     config, config_with_long_connect_timeout, endpoint, ok_response, proxy_for, request, send_request,
@@ -54,7 +54,7 @@
     }
 }
 
-/// Guards against an attempt that is written once its connection comes up, though its client has disconnected.
+/// Guards against an attempt that is written to a late connection after its client has disconnected.
 #[test]
 fn an_attempt_not_yet_begun_is_not_written_once_its_client_has_left() {
     for can_cancel in [true, false] {
@@ -124,7 +124,7 @@
         disconnect(&proxy, clients);
         discovery.publish_delta(&[endpoint("a", backend.address, "ready", 0)]);
         assert_eq!(
-            staying_client.read_response().map(|a| a.status()),
+            staying_client.read_response().map(|response| response.status()),
             Some(200),
             "shutting down: {is_shutting_down}"
         );
@@ -132,7 +132,7 @@
     }
 }
 
-/// Guards against retries that are written once their connections come up, though their clients have disconnected.
+/// Guards against retries that are written to late connections after their clients have disconnected.
 #[test]
 fn further_attempts_of_clients_that_left_while_they_dial_are_never_written() {
     for (is_shutting_down, can_cancel) in [(false, true), (false, false), (true, true), (true, false)] {
@@ -153,7 +153,9 @@
         let mut proxy =
             ProxyProcess::start(&with_value(&config, "/settings/limits/cancel", json!(can_cancel)));
         // The retry budget is a fifth of the requests: enough of them come first.
-        (0..2 * CLIENTS).for_each(|_| assert_eq!(send_request(&proxy, &request("read", 7000)).status(), 200));
+        for _ in 0..2 * CLIENTS {
+            assert_eq!(send_request(&proxy, &request("read", 7000)).status(), 200);
+        }
         discovery.publish_delta(&[endpoint("b", slow_backend.address, "ready", 0)]);
         let mut clients = Vec::new();
         for _ in 0..CLIENTS {
--- a/tests/proxy/connections.rs
+++ b/tests/proxy/connections.rs
@@ -7,7 +7,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-/// Guards against a request that fails because its backend had closed the idle connection that it went out on.
+/// Guards against a request that fails because its backend had closed the idle connection.
 #[test]
 fn a_stale_pooled_connection_costs_no_attempt() {
     let is_first = AtomicBool::new(true);
@@ -40,7 +40,9 @@
         assert_eq!(client.read_response().map(|response| response.status()), Some(200));
     }
     assert_eq!(backend.opened_connections(), 2);
-    (0..10).for_each(|_| assert_eq!(send_request(&proxy, &request("read", 7000)).status(), 200));
+    for _ in 0..10 {
+        assert_eq!(send_request(&proxy, &request("read", 7000)).status(), 200);
+    }
     assert_eq!((backend.opened_connections(), backend.closed_connections()), (2, 0));
     // Idle connections of many proxies would fill the connection tables of backends that they no longer use.
     wait_until("both are closed once they have been idle", || backend.closed_connections() == 2);
@@ -59,7 +61,7 @@
     wait_until("the attempt", || proxy.log().contains("attempt dispatched attempt=0 "));
     discovery.publish_delta(&[endpoint("a", slow_backend.address, "draining", 0)]);
     let bytes = slow_backend.accept();
-    assert_eq!(client.read_response().map(|a| a.status()), Some(503));
+    assert_eq!(client.read_response().map(|response| response.status()), Some(503));
     assert_eq!(bytes(), 0);
 }
 
--- a/tests/proxy/deadlines.rs
+++ b/tests/proxy/deadlines.rs
@@ -52,6 +52,6 @@
     wait_until("the retry", || proxy.log().contains(&format!("address={}", slow_backend.address)));
     std::thread::sleep(Duration::from_millis(1300)); // longer than the idempotency window
     let bytes = slow_backend.accept();
-    assert_eq!(client.read_response().map(|a| a.status()), Some(502));
+    assert_eq!(client.read_response().map(|response| response.status()), Some(502));
     assert_eq!(bytes(), 0);
 }
--- a/tests/proxy/discovery_lists.rs
+++ b/tests/proxy/discovery_lists.rs
@@ -19,19 +19,25 @@
     discovery.publish_delta(&[endpoint("a", backend_a.address, "draining", 0)]);
     wait_until("the pool of a closed", || backend_a.closed_connections() == backend_a.opened_connections());
     let before = backend_a.requests().len();
-    (0..20).for_each(|_| assert_eq!(send_request(&proxy, &request("read", 7000)).body, b"b"));
+    for _ in 0..20 {
+        assert_eq!(send_request(&proxy, &request("read", 7000)).body, b"b");
+    }
     discovery.publish_delta(&[
         endpoint("a", backend_a.address, "ready", 0),
         endpoint("b", backend_b.address, "gone", 0),
     ]);
     wait_until("the pool of b closed", || backend_b.closed_connections() == backend_b.opened_connections());
-    (0..20).for_each(|_| assert_eq!(send_request(&proxy, &request("read", 7000)).body, b"a"));
+    for _ in 0..20 {
+        assert_eq!(send_request(&proxy, &request("read", 7000)).body, b"a");
+    }
     assert!(backend_a.requests().len() >= before + 20);
     discovery.publish_snapshot(&[endpoint("b", backend_b.address, "ready", 0)]);
     wait_until("the pool of a closed again", || {
         backend_a.closed_connections() == backend_a.opened_connections()
     });
-    (0..20).for_each(|_| assert_eq!(send_request(&proxy, &request("read", 7000)).body, b"b"));
+    for _ in 0..20 {
+        assert_eq!(send_request(&proxy, &request("read", 7000)).body, b"b");
+    }
 }
 
 /// Guards against a malformed list that comes into force in part, replaces the list held or ends the watch.
@@ -80,7 +86,7 @@
     }
 }
 
-/// Guards against lists that are lost because they come indented, in chunks, or with other header names or ends.
+/// Guards against lists that are lost because of their indentation, framing or header names.
 #[test]
 fn a_list_is_taken_in_every_form_that_http_gives_it() {
     let backend = Backend::start(|_| ok_response("x"));
@@ -158,7 +164,7 @@
     assert_eq!(send_request(&proxy, &request("read", 7000)).status(), 200);
 }
 
-/// Guards against a herd: where the waits of all proxies end together, the last in the queue learns of a drain too late.
+/// Guards against waits of all proxies that end together, so that the last learns of a drain too late.
 #[test]
 fn the_proxies_of_a_fleet_do_not_all_wait_equally_long_for_news() {
     const PROXIES: u64 = 4;
--- a/tests/proxy/discovery_recovery.rs
+++ b/tests/proxy/discovery_recovery.rs
@@ -191,7 +191,7 @@
     }
 }
 
-/// Guards against a herd of starting proxies whose calls, rejected by an overloaded service, come too late again.
+/// Guards against a herd of starting proxies whose rejected calls come again too late.
 #[test]
 fn nine_in_ten_of_those_that_start_together_are_ready_within_10_s() {
     const STARTED: u32 = 40;
--- a/tests/proxy/graceful_shutdown.rs
+++ b/tests/proxy/graceful_shutdown.rs
@@ -31,7 +31,7 @@
     assert!(proxy.wait_for_exit().success());
 }
 
-/// Guards against requests in flight, queued or just arrived that are unanswered at SIGKILL, 3.7 s after SIGTERM.
+/// Guards against requests that are unanswered at SIGKILL, 3.7 s after SIGTERM.
 #[test]
 fn sigterm_brings_every_answer_before_the_kill() {
     let backend = Backend::start(|_| Reply::NoResponse);
@@ -56,7 +56,8 @@
             assert_eq!(client.read_response().map(|response| response.status()), Some(status));
         }
         assert!(proxy.wait_for_exit().success());
-        assert!(began.elapsed() < Duration::from_secs(6), "{:?}", began.elapsed()); // far earlier than any deadline
+        // Far earlier than any deadline.
+        assert!(began.elapsed() < Duration::from_secs(6), "{:?}", began.elapsed());
         assert!(!proxy.log().contains("ERROR"), "{}", proxy.log());
     }
 }
@@ -115,7 +116,8 @@
         wait_until("the listener closed", || proxy.readiness_status() == 0);
         client.send(&pay[cut..]);
         let response = client.read_response().expect("an answer");
-        let is_body_late = cut > 5 && response.status() == 408; // the body has less time than a loaded machine may take
+        // The body has less time than a loaded machine may take.
+        let is_body_late = cut > 5 && response.status() == 408;
         assert!(response.status() == 200 || is_body_late, "{response:?}");
         assert!(proxy.wait_for_exit().success());
         proxy = proxy_for(&[("a", &backend)]).0;
--- a/tests/proxy/malformed_requests.rs
+++ b/tests/proxy/malformed_requests.rs
@@ -46,7 +46,7 @@
     let (proxy, _discovery) = proxy_for(&[("a", &backend)]);
     let (read, pay, extra) = (request("read", 7000), request("pay", 7000), "x".repeat(200_000));
     let length = format!("Content-Length: {}", extra.len());
-    // What stays on an open connection is the beginning of a request that is never whole, with its own response.
+    // What stays on an open connection is half a request, with its own response.
     let cases = [
         (pay.replace("Content-Length: 4", &length).replace("body", &extra), 413, None),
         (format!("{}{extra}", read.replace("read/", "none/")), 400, Some(408)),
--- a/tests/proxy/reload/changed_settings.rs
+++ b/tests/proxy/reload/changed_settings.rs
@@ -47,7 +47,9 @@
     config["settings"]["limits"]["conn_idle_us"] = json!(0);
     reload(&proxy, &config);
     let before = backend.opened_connections();
-    (0..5).for_each(|_| assert_eq!(send_request(&proxy, &request("read", 7000)).status(), 200));
+    for _ in 0..5 {
+        assert_eq!(send_request(&proxy, &request("read", 7000)).status(), 200);
+    }
     assert_eq!(backend.opened_connections(), before + 5);
     wait_until("all but that of the request in flight closed", || {
         backend.closed_connections() == backend.opened_connections() - 1
@@ -61,7 +63,9 @@
     let (proxy, _discovery, mut config) = proxy_with_config(&backends.iter().collect::<Vec<_>>());
     let mut request_counts = vec![0; backends.len()];
     let mut used_backends = || -> Vec<usize> {
-        (0..60).for_each(|_| assert_eq!(send_request(&proxy, &request("read", 7000)).status(), 200));
+        for _ in 0..60 {
+            assert_eq!(send_request(&proxy, &request("read", 7000)).status(), 200);
+        }
         let new: Vec<usize> = backends.iter().map(|backend| backend.requests().len()).collect();
         let old = std::mem::replace(&mut request_counts, new);
         (0..backends.len()).filter(|number| request_counts[*number] > old[*number]).collect()
--- a/tests/proxy/reload/discovery_address.rs
+++ b/tests/proxy/reload/discovery_address.rs
@@ -50,7 +50,7 @@
     }
 }
 
-/// Guards against a proxy of a large fleet that waits its turn before it calls an unresponsive discovery again.
+/// Guards against a proxy that waits its turn in the fleet to call an unresponsive discovery again.
 #[test]
 fn a_silent_discovery_is_asked_again_at_once_for_the_whole_list() {
     let backend = Backend::start(|_| ok_response("x"));
--- a/tests/proxy/reload/large_files.rs
+++ b/tests/proxy/reload/large_files.rs
@@ -158,7 +158,7 @@
         proxy.reload(&large);
         std::thread::sleep(Duration::from_millis(20));
     }
-    assert_eq!(client.read_response().map(|a| a.status()), Some(200));
+    assert_eq!(client.read_response().map(|response| response.status()), Some(200));
     assert!(client.ends_without_reset(), "reset");
     assert!(proxy.wait_for_exit().success());
     assert!(began.elapsed() < Duration::from_secs(5), "{:?}", began.elapsed());
--- a/tests/proxy/reload/requests_in_flight.rs
+++ b/tests/proxy/reload/requests_in_flight.rs
@@ -33,13 +33,15 @@
     attempts: usize,
 }
 
-/// A request of a class that a reload replaces before the connection of its attempt closes. A second backend serves it
-/// if it is retried.
+/// A request of a class that a reload replaces before the connection of its attempt closes. A second backend
+/// serves it if it is retried.
 fn outcome_after_reload(effect: &str, new_effect: Option<&str>) -> Outcome {
     let closing_backends = [start_closing_backend(), start_closing_backend()];
     let backends: Vec<&Backend> = closing_backends.iter().map(|closing| &closing.backend).collect();
     let (proxy, _discovery, mut config) = proxy_with_config(&backends);
-    (0..10).for_each(|_| assert_eq!(send_request(&proxy, &request("read", 7000)).status(), 200));
+    for _ in 0..10 {
+        assert_eq!(send_request(&proxy, &request("read", 7000)).status(), 200);
+    }
     config["settings"]["profiles"][2] = class("odd", effect);
     reload(&proxy, &config);
     let attempts = || {
@@ -69,7 +71,7 @@
     assert_eq!(outcome_after_reload("free", Some("single_shot")).attempts, 2, "not retried");
 }
 
-/// Guards against a request that goes by the classes of its head where they are replaced before its body comes.
+/// Guards against a request that goes by classes which were replaced before its body came.
 #[test]
 fn a_request_whose_body_comes_after_the_reload_goes_by_the_new_classes() {
     let backend = Backend::start(|_| ok_response("x"));
--- a/tests/proxy/resource_exhaustion.rs
+++ b/tests/proxy/resource_exhaustion.rs
@@ -1,4 +1,4 @@
-//! System calls that fail for a moment because resources of this machine are exhausted, or over one connection.
+//! System calls that fail for a moment, because resources are exhausted or over one connection.
 
 use crate::support::{
     config, endpoint, ok_response, request, send_request, wait_until, Backend, Client, Discovery, Faults,
--- a/tests/proxy/soak.rs
+++ b/tests/proxy/soak.rs
@@ -1,5 +1,5 @@
-//! A proxy among all faults at once, judged request by request. What goes wrong and when is drawn from a seed.
-//! `SOAK_SEEDS=FROM..TO` runs others than the few that every change has to pass.
+//! A proxy among all faults at once, judged request by request. What goes wrong and when is drawn from a
+//! seed. `SOAK_SEEDS=FROM..TO` runs others than the few that every change has to pass.
 
 mod backends;
 mod clients;
@@ -57,7 +57,7 @@
 }
 
 /// Sends requests from all clients while faults happen, and shuts the proxy down.
-fn send_requests_among_faults(run: &Run, random: &mut Pcg32, seed: u64, longest_deadline_ms: u64) {
+fn send_requests_among_faults(run: &Run, random: &mut Pcg32, seed: u64) {
     let (stop, next_request_id) = (AtomicBool::new(false), AtomicU64::new(seed << 32));
     let (stop, next_request_id) = (&stop, &next_request_id);
     std::thread::scope(|scope| {
@@ -67,7 +67,7 @@
                 random: Pcg32::seed_from_u64(seed * 1000 + client),
                 record: &run.record,
                 next_request_id,
-                longest_deadline_ms,
+                longest_deadline_ms: run.longest_deadline_ms,
             };
             scope.spawn(move || client.run(stop));
         }
@@ -78,13 +78,13 @@
             std::thread::sleep(Duration::from_millis(100 + below(random, 500)));
             run.inject_fault(random, &mut states, &mut idle_clients);
         }
-        run.shut_down(random, longest_deadline_ms);
+        run.shut_down(random);
         stop.store(true, Ordering::SeqCst);
     });
 }
 
 /// Starts the proxy of a seed, and what is around it.
-fn start_run(random: &mut Pcg32, seed: u64) -> (Run, u64) {
+fn start_run(random: &mut Pcg32, seed: u64) -> Run {
     let idempotency_window = Duration::from_millis(200 + below(random, 1000));
     let record = Arc::new(RunRecord { idempotency_window, ..RunRecord::default() });
     let (faults, discovery) = (Faults::none(), Discovery::start());
@@ -95,14 +95,14 @@
     faults.step_clock([0, 10, 3600, -3600][below(random, 4) as usize]);
     let proxy = ProxyProcess::spawn_with_faults(&faults, &config);
     wait_until("ready", || proxy.readiness_status() == 200);
-    (Run { proxy, config, faults, discovery, backends, record }, longest_deadline_ms)
+    Run { proxy, config, faults, discovery, backends, record, longest_deadline_ms }
 }
 
 /// Runs a seed and returns all that was broken.
 fn run_seed(seed: u64) -> Vec<String> {
     let mut random = Pcg32::seed_from_u64(seed);
-    let (mut run, longest_deadline_ms) = start_run(&mut random, seed);
-    send_requests_among_faults(&run, &mut random, seed, longest_deadline_ms);
+    let mut run = start_run(&mut random, seed);
+    send_requests_among_faults(&run, &mut random, seed);
     let mut violations = Vec::new();
     if run.proxy.wait_for_exit().code().is_some_and(|code| code != 0) {
         violations.push("the proxy ended badly".into());
--- a/tests/proxy/soak/faults.rs
+++ b/tests/proxy/soak/faults.rs
@@ -25,6 +25,7 @@
     pub discovery: Discovery,
     pub backends: Vec<Backend>,
     pub record: Arc<RunRecord>,
+    pub longest_deadline_ms: u64,
 }
 
 /// A backend as the endpoint list has it.
@@ -74,7 +75,11 @@
                     self.toggle_backend(number, &mut states[number]);
                 }
             }
-            3 => (0..=below(random, 3)).for_each(|_| self.proxy.reload(&self.config.to_string())),
+            3 => {
+                for _ in 0..=below(random, 3) {
+                    self.proxy.reload(&self.config.to_string());
+                }
+            }
             4 => drop(self.proxy.stall(Duration::from_millis(20 + below(random, 120)), || {})),
             5 => self.faults.step_clock([0, 5, -5, 3600, -3600][below(random, 5) as usize]),
             6 => self.faults.fail_accepts([0, 5, 50][below(random, 3) as usize]),
@@ -88,7 +93,7 @@
     }
 
     /// Sends SIGTERM, maybe with a fault, and SIGKILL as early as the platform may. Clients go on until then.
-    pub fn shut_down(&self, random: &mut Pcg32, longest_deadline_ms: u64) {
+    pub fn shut_down(&self, random: &mut Pcg32) {
         self.record.all_backends_hang.store(one_in(random, 2), Ordering::SeqCst);
         let began = Instant::now();
         self.proxy.terminate();
@@ -99,7 +104,7 @@
             self.proxy.terminate();
             self.proxy.signal("-HUP");
         }
-        let kill = Duration::from_millis(longest_deadline_ms).min(LONGEST_COUNTED) + KILL_AFTER;
+        let kill = Duration::from_millis(self.longest_deadline_ms).min(LONGEST_COUNTED) + KILL_AFTER;
         std::thread::sleep(kill.saturating_sub(began.elapsed()));
         self.proxy.kill();
     }
--- a/tests/proxy/support/client.rs
+++ b/tests/proxy/support/client.rs
@@ -65,5 +65,7 @@
 
 /// Sends requests enough that the balancer has retries to spend.
 pub fn warm_up(proxy: &ProxyProcess) {
-    (0..10).for_each(|_| assert_eq!(send_request(proxy, &request("read", 7000)).status(), 200));
+    for _ in 0..10 {
+        assert_eq!(send_request(proxy, &request("read", 7000)).status(), 200);
+    }
 }
--- a/tests/proxy/support/faults.rs
+++ b/tests/proxy/support/faults.rs
@@ -1,5 +1,5 @@
-//! Faults of the machine around the proxy: system calls that fail for a moment, and a wall clock that is wrong
-//! or stepped.
+//! Faults of the machine around the proxy: system calls that fail for a moment, and a wall clock that is
+//! wrong or stepped.
 
 use std::os::unix::fs::FileExt;
 use std::path::{Path, PathBuf};
@@ -48,7 +48,7 @@
         self.set(ACCEPT_PERCENT, percent);
     }
 
-    /// So many in a hundred of the calls of socket and of connect fail because resources of this machine are exhausted.
+    /// So many in a hundred of the calls of socket and of connect fail, as resources are exhausted.
     pub fn fail_connects(&self, percent: i64) {
         self.set(CONNECT_PERCENT, percent);
     }
--- a/tests/proxy/support/proxy_process.rs
+++ b/tests/proxy/support/proxy_process.rs
@@ -127,8 +127,8 @@
         let _ = Command::new("kill").args(["-KILL", &pid]).stderr(Stdio::null()).status();
     }
 
-    /// Stops the process for so long, as a busy machine might. Returns how long it may have been stopped: on a
-    /// loaded machine that is longer.
+    /// Stops the process for so long, as a busy machine might. Returns how long it may have been stopped: on
+    /// a loaded machine that is longer.
     pub fn stall(&self, duration: Duration, meanwhile: impl FnOnce()) -> Duration {
         let began = Instant::now();
         self.signal("-STOP");
--- a/tests/proxy/time_left.rs
+++ b/tests/proxy/time_left.rs
@@ -1,4 +1,4 @@
-//! The remaining time that an attempt sends upstream is at most what its client has left, with 0.15 s of slack.
+//! The remaining time sent upstream is at most what the client has left, with 0.15 s of slack.
 
 use crate::support::{
     config, endpoint, ok_response, proxy_for, request, Backend, Client, Discovery, ProxyProcess,
--- a/tests/proxy/wall_clock.rs
+++ b/tests/proxy/wall_clock.rs
@@ -1,4 +1,4 @@
-//! The wall clock of the machine may be wrong at the start, and stepped at any time: spans of time stay right.
+//! The wall clock may be wrong at the start and stepped at any time: spans of time stay right.
 
 use crate::support::{
     config, endpoint, ok_response, request, wait_until, with_value, Backend, Client, Discovery, Faults,
