--- a/tests/proxy/reload/changed_settings.rs
+++ b/tests/proxy/reload/changed_settings.rs
@@ -1,6 +1,6 @@
 //! Which settings come into force, and which need a restart.
 
-use super::{class, proxy_with_config, reload, reload_log, request_of_class};
+use super::{class, reload, reload_log, request_of_class, start_reloadable_proxy, ReloadableProxy};
 use crate::support::{ok_response, request, send_request, wait_until, with_value, Backend, Client, Reply};
 use serde_json::json;
 use std::time::{Duration, Instant};
@@ -9,7 +9,7 @@
 #[test]
 fn classes_and_tenants_come_and_go() {
     let backend = Backend::start(|_| ok_response("x"));
-    let (proxy, _discovery, mut config) = proxy_with_config(&[&backend]);
+    let ReloadableProxy { proxy, mut config, .. } = start_reloadable_proxy(&[&backend]);
     let status = |text: &str| send_request(&proxy, text).status();
     assert_eq!((status(&request_of_class("new", "GET")), status(&request("pay", 7000))), (400, 200));
     config["settings"]["profiles"] = json!([class("new", "free"), class("read", "single_shot")]);
@@ -34,7 +34,7 @@
 fn the_limits_come_into_force() {
     let backend =
         Backend::start(|m| if m.start_line.contains("/pay/") { Reply::NoResponse } else { ok_response("x") });
-    let (proxy, _discovery, mut config) = proxy_with_config(&[&backend]);
+    let ReloadableProxy { proxy, mut config, .. } = start_reloadable_proxy(&[&backend]);
     let mut waiting = Client::open(proxy.address);
     waiting.send(&request("pay", 60_000));
     wait_until("the attempt", || backend.requests().len() == 1);
@@ -60,7 +60,8 @@
 #[test]
 fn the_size_of_the_fleet_and_the_place_in_it_come_into_force() {
     let backends: Vec<Backend> = (0..30).map(|_| Backend::start(|_| ok_response("x"))).collect();
-    let (proxy, _discovery, mut config) = proxy_with_config(&backends.iter().collect::<Vec<_>>());
+    let ReloadableProxy { proxy, mut config, .. } =
+        start_reloadable_proxy(&backends.iter().collect::<Vec<_>>());
     let mut request_counts = vec![0; backends.len()];
     let mut used_backends = || -> Vec<usize> {
         for _ in 0..60 {
@@ -85,7 +86,7 @@
 #[test]
 fn the_time_for_ceasing_to_send_comes_into_force() {
     let backend = Backend::start(|_| ok_response("x"));
-    let (proxy, discovery, mut config) = proxy_with_config(&[&backend]);
+    let ReloadableProxy { proxy, discovery, mut config } = start_reloadable_proxy(&[&backend]);
     config["settings"]["rules"]["stop_sending_within_us"] = json!(3_000_000);
     reload(&proxy, &config);
     let has_called_with = |wait: &str| discovery.request_lines().iter().any(|call| call.contains(wait));
@@ -102,7 +103,7 @@
 #[test]
 fn what_needs_a_restart_keeps_its_value_and_says_so() {
     let backend = Backend::start(|_| ok_response("x"));
-    let (proxy, _discovery, config) = proxy_with_config(&[&backend]);
+    let ReloadableProxy { proxy, config, .. } = start_reloadable_proxy(&[&backend]);
     let cases = [
         ("/listen", json!("127.0.0.1:1"), "key needs a restart key=listen value=127.0.0.1:0"),
         ("/seed", json!("5"), "key needs a restart key=seed value=8c1f30d27a5be964"),
--- a/tests/proxy/reload/large_files.rs
+++ b/tests/proxy/reload/large_files.rs
@@ -1,6 +1,8 @@
 //! Files of thousands of classes and tenants, and signals in quick succession.
 
-use super::{class, ended_reloads, proxy_with_config, reload, reload_log, request_of_class};
+use super::{
+    class, ended_reloads, reload, reload_log, request_of_class, start_reloadable_proxy, ReloadableProxy,
+};
 use crate::support::{ok_response, request, send_request, settings, wait_until, with_value, Backend, Client};
 use serde_json::{json, Value};
 use std::net::SocketAddr;
@@ -13,7 +15,7 @@
 #[test]
 fn a_burst_of_signals_ends_with_the_last_file() {
     let backend = Backend::start(|_| ok_response("x"));
-    let (proxy, _discovery, config) = proxy_with_config(&[&backend]);
+    let ReloadableProxy { proxy, config, .. } = start_reloadable_proxy(&[&backend]);
     let long_read = large_config(&config, 3_000, 10_000).to_string();
     let mut last = 0;
     for round in 0..5 {
@@ -95,7 +97,7 @@
 #[test]
 fn no_request_waits_for_a_large_file_to_be_read() {
     let backend = Backend::start(|_| ok_response("x"));
-    let (proxy, _discovery, config) = proxy_with_config(&[&backend]);
+    let ReloadableProxy { proxy, config, .. } = start_reloadable_proxy(&[&backend]);
     let first = large_config(&config, CLASSES, TENANTS);
     let second = large_config(&config, CLASSES - 100, TENANTS - 100);
     let texts = [first.to_string(), second.to_string()];
@@ -123,7 +125,7 @@
 #[test]
 fn memory_stays_flat_while_files_are_replaced() {
     let backend = Backend::start(|_| ok_response("x"));
-    let (proxy, _discovery, config) = proxy_with_config(&[&backend]);
+    let ReloadableProxy { proxy, config, .. } = start_reloadable_proxy(&[&backend]);
     let texts = [large_config(&config, 1_500, 5_000), large_config(&config, 1_400, 4_900)];
     let mut early = 0;
     for number in 0..30 {
@@ -145,7 +147,7 @@
         }
         ok_response("x")
     });
-    let (mut proxy, _discovery, config) = proxy_with_config(&[&backend]);
+    let ReloadableProxy { mut proxy, config, .. } = start_reloadable_proxy(&[&backend]);
     let large =
         large_config(&with_value(&config, "/settings/profiles/2/name", json!("new")), CLASSES, TENANTS)
             .to_string();
--- a/tests/proxy/reload/mod.rs
+++ b/tests/proxy/reload/mod.rs
@@ -40,11 +40,18 @@
     class
 }
 
-/// A proxy for these backends, its discovery and its configuration.
-fn proxy_with_config(backends: &[&Backend]) -> (ProxyProcess, Discovery, Value) {
+/// A proxy, its discovery and its configuration.
+struct ReloadableProxy {
+    proxy: ProxyProcess,
+    discovery: Discovery,
+    config: Value,
+}
+
+/// A proxy whose cached list holds these backends.
+fn start_reloadable_proxy(backends: &[&Backend]) -> ReloadableProxy {
     let discovery = Discovery::start();
     let config = config(discovery.address, &ready_endpoints(backends.iter().copied()));
-    (ProxyProcess::start(&config), discovery, config)
+    ReloadableProxy { proxy: ProxyProcess::start(&config), discovery, config }
 }
 
 /// A POST, or a GET, of a class of any name.
--- a/tests/proxy/reload/rejected_files.rs
+++ b/tests/proxy/reload/rejected_files.rs
@@ -1,6 +1,6 @@
 //! Files that cannot be used.
 
-use super::{proxy_with_config, reload, reload_log, request_of_class};
+use super::{reload, reload_log, request_of_class, start_reloadable_proxy, ReloadableProxy};
 use crate::support::{
     endpoint, ok_response, request, send_request, wait_until, with_value, Backend, Discovery,
 };
@@ -39,7 +39,7 @@
 #[test]
 fn a_file_that_cannot_be_used_changes_nothing_of_what_it_says() {
     let backend = Backend::start(|_| ok_response("x"));
-    let (proxy, discovery, good) = proxy_with_config(&[&backend]);
+    let ReloadableProxy { proxy, discovery, config: good } = start_reloadable_proxy(&[&backend]);
     let other_discovery = Discovery::start();
     let mut other = with_value(&good, "/discovery", json!(other_discovery.address.to_string()));
     other["settings"]["profiles"][2]["name"] = json!("new");
--- a/tests/proxy/reload/requests_in_flight.rs
+++ b/tests/proxy/reload/requests_in_flight.rs
@@ -1,6 +1,6 @@
 //! Requests that are in flight or half received while the configuration is replaced.
 
-use super::{class, proxy_with_config, reload, request_of_class};
+use super::{class, reload, request_of_class, start_reloadable_proxy, ReloadableProxy};
 use crate::support::{ok_response, request, send_request, wait_until, Backend, Client, Reply};
 use serde_json::json;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -38,7 +38,7 @@
 fn outcome_after_reload(effect: &str, new_effect: Option<&str>) -> Outcome {
     let closing_backends = [start_closing_backend(), start_closing_backend()];
     let backends: Vec<&Backend> = closing_backends.iter().map(|closing| &closing.backend).collect();
-    let (proxy, _discovery, mut config) = proxy_with_config(&backends);
+    let ReloadableProxy { proxy, mut config, .. } = start_reloadable_proxy(&backends);
     for _ in 0..10 {
         assert_eq!(send_request(&proxy, &request("read", 7000)).status(), 200);
     }
@@ -75,7 +75,7 @@
 #[test]
 fn a_request_whose_body_comes_after_the_reload_goes_by_the_new_classes() {
     let backend = Backend::start(|_| ok_response("x"));
-    let (proxy, _discovery, mut config) = proxy_with_config(&[&backend]);
+    let ReloadableProxy { proxy, mut config, .. } = start_reloadable_proxy(&[&backend]);
     let pay = request("pay", 7000);
     for (profiles, status) in [
         (json!([class("read", "free"), class("pay", "single_shot")]), 200),
