--- a/tests/proxy/backend_answers.rs
+++ b/tests/proxy/backend_answers.rs
@@ -114,8 +114,8 @@
     }
 }
 
-/// A backend that writes a second answer on a connection as soon as the next request comes within 4 ms of the
-/// first; counts how often it did.
+/// A backend whose second answer to a request is taken for that to the next one on its connection, where that
+/// comes within 4 ms; counts how often it was.
 fn start_answering_twice() -> (SocketAddr, Arc<AtomicUsize>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
--- a/tests/proxy/time_left.rs
+++ b/tests/proxy/time_left.rs
@@ -57,7 +57,7 @@
     last.excess_ms(sent, time_left_ms)
 }
 
-/// Guards against a remaining time that leaves out how long the request waited before it was read.
+/// Guards against a remaining time that does not deduct what the request waited before it was read.
 #[test]
 fn the_time_told_leaves_out_what_the_request_waited_before_it_was_read() {
     for class in ["read", "vote", "pay"] {
@@ -72,7 +72,7 @@
     }
 }
 
-/// Guards against a remaining time that leaves out how long the connection waited behind idle clients.
+/// Guards against a remaining time that does not deduct what the connection waited behind idle clients.
 #[test]
 fn the_time_told_leaves_out_what_the_connection_waited_to_be_accepted() {
     let (backend, last) = start_recording_backend();
