--- /dev/null
+++ b/tests/proxy/idle_clients.rs
@@ -0,0 +1,67 @@
+//! Idle clients that take every connection slot, new ones coming all the time.
+
+use crate::support::{
+    config, endpoint, ok_response, refusing_address, request, send_request, wait_until, Backend, Client,
+    Discovery, ProxyProcess, ReservedPort,
+};
+use serde_json::json;
+use std::net::SocketAddr;
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+/// Clients that connect all the time, send nothing and stay until the proxy ends them.
+struct IdleClients {
+    stop: Arc<AtomicBool>,
+    connecting: Option<std::thread::JoinHandle<()>>,
+}
+
+impl IdleClients {
+    /// Connects so many a second.
+    fn start(address: SocketAddr, clients_per_second: u32) -> IdleClients {
+        let stop = Arc::new(AtomicBool::new(false));
+        let is_stopped = stop.clone();
+        let connecting = std::thread::spawn(move || {
+            let mut clients = Vec::new();
+            while !is_stopped.load(Ordering::SeqCst) {
+                clients.extend(Client::try_open(address));
+                std::thread::sleep(Duration::from_secs(1) / clients_per_second);
+            }
+        });
+        IdleClients { stop, connecting: Some(connecting) }
+    }
+}
+
+impl Drop for IdleClients {
+    fn drop(&mut self) {
+        self.stop.store(true, Ordering::SeqCst);
+        if let Some(connecting) = self.connecting.take() {
+            let _ = connecting.join();
+        }
+    }
+}
+
+/// Guards against idle clients that keep out calls of discovery, connections to backends, and requests.
+#[test]
+fn a_crowd_of_idle_clients_keeps_out_neither_news_nor_backends_nor_requests() {
+    let backend = Backend::start(|_| ok_response("x"));
+    let address = refusing_address();
+    let reserved_port = ReservedPort::bind();
+    let mut config = config(reserved_port.address, &[endpoint("a", address, "ready", 0)]);
+    config["limits"]["sockets"] = json!(64);
+    let proxy = ProxyProcess::start(&config);
+    let _idle_clients = IdleClients::start(proxy.address, 25);
+    wait_until("all slots are taken", || {
+        proxy.readiness_status() == 200 && proxy.log().contains("discovery call failed ")
+    });
+    std::thread::sleep(Duration::from_secs(3));
+    let discovery = Discovery::start_on(reserved_port);
+    discovery.publish_snapshot(&[endpoint("b", backend.address, "ready", 0)]);
+    let began = Instant::now();
+    for number in 0..20 {
+        assert_eq!(send_request(&proxy, &request("read", 7000)).status(), 200, "request {number}");
+    }
+    // Sixteen slots, each freed within two seconds, and 25 new clients a second.
+    assert!(began.elapsed() < Duration::from_secs(20), "{:?}", began.elapsed());
+    assert!(!proxy.log().contains("accept failed "), "descriptors were left");
+}
--- /dev/null
+++ b/tests/proxy/logging.rs
@@ -0,0 +1,46 @@
+//! The log of requests and their attempts.
+
+use crate::support::{
+    ok_response, proxy_for, request, send_request, wait_until, Backend, Client, Message, Reply,
+};
+
+/// Guards against requests whose arrival, attempts or end cannot be found by the id that their client gave.
+#[test]
+fn a_request_can_be_followed_through_the_log_by_its_correlation_id() {
+    let respond = |message: &Message| match message.start_line.contains("/pay/") {
+        true => Reply::NoResponse,
+        false => ok_response("x"),
+    };
+    let backend = Backend::start(respond);
+    let (proxy, _discovery) = proxy_for(&[("a", &backend)]);
+    let status_of = |class: &str, time_left_ms: u64, id: &str| {
+        let text = request(class, time_left_ms).replace("9b1f03aa5c7e2d41", id);
+        send_request(&proxy, &text).status()
+    };
+    let lines = |id: &str| -> Vec<String> {
+        let field = format!(" correlation_id={id} ");
+        proxy.log().lines().filter(|line| line.contains(&field)).map(str::to_string).collect()
+    };
+    let address_field = format!("address={}", backend.address);
+    // Before the time-out, for which the balancer may eject the only backend for a while.
+    let mut disconnecting_client = Client::open(proxy.address);
+    disconnecting_client.send(&request("pay", 7000).replace("9b1f03aa5c7e2d41", "33cc"));
+    wait_until("the attempt", || lines("33cc").len() == 2);
+    drop(disconnecting_client);
+    wait_until("its end", || {
+        lines("33cc").iter().any(|line| line.contains("request ended outcome=client_disconnected "))
+    });
+    // More than a quarter of the objective: with less a class without any answer yet may be given up.
+    let cases = [("read", 7000, 200, "11aa", "served"), ("pay", 2000, 502, "22bb", "failed")];
+    for (class, time_left_ms, status, id, outcome) in cases {
+        assert_eq!(status_of(class, time_left_ms, id), status, "{class}");
+        let end = format!("request ended outcome={outcome} ");
+        let parts = ["request received ", &address_field, "attempt ended attempt=0 ", &end];
+        wait_until("its last line", || lines(id).len() == parts.len());
+        let logged = lines(id);
+        assert!(
+            parts.iter().all(|part| logged.iter().any(|line| line.contains(part))),
+            "{class}: {logged:?}"
+        );
+    }
+}
--- /dev/null
+++ b/tests/proxy/reload/discovery_address.rs
@@ -0,0 +1,71 @@
+//! SIGHUP moves the proxy to another discovery.
+
+use crate::support::{
+    config, endpoint, ok_response, request, send_request, wait_until, with_value, Backend, Discovery,
+    ProxyProcess,
+};
+use serde_json::{json, Value};
+use std::time::{Duration, Instant};
+
+/// Guards against a watch that stays at the old address, or is moved by a file that cannot be used.
+#[test]
+fn sighup_moves_discovery_and_a_bad_file_changes_nothing() {
+    for mode in ["automatic", "subscribe"] {
+        let (backend_a, backend_b) =
+            (Backend::start(|_| ok_response("a")), Backend::start(|_| ok_response("b")));
+        let (old, new) = (Discovery::start(), Discovery::start());
+        let mut config = config(old.address, &[endpoint("a", backend_a.address, "ready", 0)]);
+        config["settings"]["discovery"] = json!(mode);
+        let proxy = ProxyProcess::start(&config);
+        wait_until("the watch", || old.call_count() > 0);
+        let config_with = |pointer: &str, value: Value| with_value(&config, pointer, value).to_string();
+        let rejected_files = [
+            String::new(),
+            "no json".into(),
+            json!({"discovery": new.address.to_string()}).to_string(),
+            config_with("/discovery", json!("nowhere")),
+            config_with("/limits/sockets", json!(3)),
+            config_with("/settings/profiles/0/aim_us", json!(9_000_000)),
+            config_with("/settings/my_zone", json!("north")),
+        ];
+        for rejected in rejected_files {
+            let before = proxy.count_in_log("SIGHUP");
+            proxy.reload(&rejected);
+            wait_until("a line about the rejected file", || proxy.count_in_log("SIGHUP") > before);
+            assert_eq!(send_request(&proxy, &request("read", 7000)).body, b"a", "{mode}");
+            assert_eq!(new.call_count(), 0, "{mode}: moved by {rejected}");
+        }
+        config["discovery"] = json!(new.address.to_string());
+        proxy.reload(&config.to_string());
+        wait_until("a call at the new address", || new.call_count() > 0);
+        let before = old.call_count();
+        assert_eq!(
+            send_request(&proxy, &request("read", 7000)).body,
+            b"a",
+            "the old list holds until there is a new one"
+        );
+        new.publish_snapshot(&[endpoint("b", backend_b.address, "ready", 0)]);
+        wait_until("the new list", || send_request(&proxy, &request("read", 7000)).body == b"b");
+        assert_eq!(old.call_count(), before, "{mode}: the old address is left alone");
+    }
+}
+
+/// Guards against a proxy that waits its turn in the fleet to call an unresponsive discovery again.
+#[test]
+fn a_silent_discovery_is_asked_again_at_once_for_the_whole_list() {
+    let backend = Backend::start(|_| ok_response("x"));
+    let (old, new) = (Discovery::start(), Discovery::start());
+    let mut config = config(old.address, &[endpoint("a", backend.address, "ready", 0)]);
+    config["settings"]["discovery"] = json!("subscribe");
+    config["settings"]["group_size"] = json!(300);
+    let proxy = ProxyProcess::start(&config);
+    config["discovery"] = json!(new.address.to_string());
+    proxy.reload(&config.to_string());
+    wait_until("a call at the new address", || new.call_count() == 1);
+    let began = Instant::now();
+    wait_until("a second one", || new.call_count() == 2);
+    // A second later nothing more may go to a backend that drains.
+    assert!(began.elapsed() < Duration::from_secs(5), "{:?}", began.elapsed());
+    assert!(!proxy.log().contains("subscription lost"), "{}", proxy.log());
+    assert_eq!(send_request(&proxy, &request("read", 7000)).status(), 200, "the list held stays in force");
+}
--- /dev/null
+++ b/tests/proxy/reload/mod.rs
@@ -0,0 +1,63 @@
+//! A replaced configuration file and SIGHUP: everything that may change while the proxy runs.
+
+mod changed_settings;
+mod discovery_address;
+mod large_files;
+mod rejected_files;
+mod requests_in_flight;
+
+use crate::support::{
+    config, ready_endpoints, request, settings, wait_until, Backend, Discovery, ProxyProcess,
+};
+use serde_json::{json, Value};
+
+/// The log lines about reloads, without what precedes their message.
+fn reload_log(proxy: &ProxyProcess) -> Vec<String> {
+    let log = proxy.log();
+    log.lines().filter_map(|line| Some(line.split_once("SIGHUP: ")?.1.to_string())).collect()
+}
+
+/// How many reloads have ended, in force or rejected.
+fn ended_reloads(proxy: &ProxyProcess) -> usize {
+    let is_end =
+        |line: &&String| line.contains("configuration in force") || line.contains("configuration rejected");
+    reload_log(proxy).iter().filter(is_end).count()
+}
+
+/// Replaces the file and waits until it is in force.
+fn reload(proxy: &ProxyProcess, config: &Value) {
+    let before = ended_reloads(proxy);
+    proxy.reload(&config.to_string());
+    wait_until("a line about the reload", || ended_reloads(proxy) > before);
+    let last = reload_log(proxy).pop().unwrap();
+    assert!(last.contains("configuration in force"), "{last}");
+}
+
+/// A class as the settings have it.
+fn class(name: &str, effect: &str) -> Value {
+    let mut class = settings()["profiles"][0].clone();
+    (class["name"], class["effect"]) = (json!(name), json!(effect));
+    class
+}
+
+/// A proxy, its discovery and its configuration.
+struct ReloadableProxy {
+    proxy: ProxyProcess,
+    discovery: Discovery,
+    config: Value,
+}
+
+/// A proxy whose cached list holds these backends.
+fn start_reloadable_proxy(backends: &[&Backend]) -> ReloadableProxy {
+    let discovery = Discovery::start();
+    let config = config(discovery.address, &ready_endpoints(backends.iter().copied()));
+    ReloadableProxy { proxy: ProxyProcess::start(&config), discovery, config }
+}
+
+/// A POST, or a GET, of a class of any name.
+fn request_of_class(name: &str, method: &str) -> String {
+    let template = if method == "GET" { "read" } else { "pay" };
+    request(template, 7000)
+        .replace(&format!("/{template}/"), &format!("/{name}/"))
+        .replace(&format!("Class: {template}"), &format!("Class: {name}"))
+}
--- /dev/null
+++ b/tests/proxy/soak/faults.rs
@@ -0,0 +1,111 @@
+//! The faults that meet the proxy, and the end of its process.
+
+use super::random::{below, one_in};
+use super::record::{DrainInterval, RunRecord};
+use super::BACKENDS;
+use crate::support::{endpoint, Backend, Client, Discovery, Faults, ProxyProcess};
+use rand_pcg::Pcg32;
+use serde_json::Value;
+use std::sync::atomic::Ordering;
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+/// SIGKILL comes so long after SIGTERM and the longest deadline.
+const KILL_AFTER: Duration = Duration::from_millis(700);
+/// The longest deadline counts as so long at most.
+const LONGEST_COUNTED: Duration = Duration::from_secs(3);
+/// Between the start times of two processes of one backend.
+const RESTART_INTERVAL_MS: u64 = 1000;
+
+/// One proxy, what is around it, and what is recorded of it.
+pub struct Run {
+    pub proxy: ProxyProcess,
+    pub config: Value,
+    pub faults: Faults,
+    pub discovery: Discovery,
+    pub backends: Vec<Backend>,
+    pub record: Arc<RunRecord>,
+    pub longest_deadline_ms: u64,
+}
+
+/// A backend as the endpoint list has it.
+#[derive(Clone, Copy)]
+pub struct EndpointState {
+    pub is_ready: bool,
+    pub started_at_ms: u64,
+}
+
+impl Run {
+    /// Lets a ready backend drain, or a draining one start again.
+    fn toggle_backend(&self, number: usize, state: &mut EndpointState) {
+        if state.is_ready {
+            self.publish_endpoint(number, "draining", state.started_at_ms);
+            let drain = DrainInterval { backend: number, from: Instant::now(), until: None };
+            self.record.drains.lock().unwrap().push(drain);
+        } else {
+            self.end_drain(number);
+            state.started_at_ms += RESTART_INTERVAL_MS;
+            self.publish_endpoint(number, "ready", state.started_at_ms);
+        }
+        state.is_ready = !state.is_ready;
+    }
+
+    fn publish_endpoint(&self, number: usize, status: &str, started_at_ms: u64) {
+        let address = self.backends[number].address;
+        self.discovery.publish_delta(&[endpoint(&format!("s{number}"), address, status, started_at_ms)]);
+    }
+
+    fn end_drain(&self, number: usize) {
+        let mut drains = self.record.drains.lock().unwrap();
+        let last = drains.iter_mut().rev().find(|drain| drain.backend == number);
+        if let Some(drain) = last {
+            drain.until = Some(Instant::now());
+        }
+    }
+
+    /// One fault that is drawn.
+    pub fn inject_fault(
+        &self, random: &mut Pcg32, states: &mut [EndpointState], idle_clients: &mut Vec<Client>,
+    ) {
+        match below(random, 9) {
+            0..=2 => {
+                let number = below(random, BACKENDS as u64) as usize;
+                let is_last = states[number].is_ready && states.iter().filter(|s| s.is_ready).count() == 1;
+                if !is_last {
+                    self.toggle_backend(number, &mut states[number]);
+                }
+            }
+            3 => {
+                for _ in 0..=below(random, 3) {
+                    self.proxy.reload(&self.config.to_string());
+                }
+            }
+            4 => drop(self.proxy.stall(Duration::from_millis(20 + below(random, 120)), || {})),
+            5 => self.faults.step_clock([0, 5, -5, 3600, -3600][below(random, 5) as usize]),
+            6 => self.faults.fail_accepts([0, 5, 50][below(random, 3) as usize]),
+            7 => self.faults.fail_connects([0, 5, 30][below(random, 3) as usize]),
+            _ => {
+                idle_clients.clear();
+                let open = |_| Client::try_open(self.proxy.address).ok();
+                idle_clients.extend((0..below(random, 80)).filter_map(open));
+            }
+        }
+    }
+
+    /// Sends SIGTERM, maybe with a fault, and SIGKILL as early as the platform may. Clients go on until then.
+    pub fn shut_down(&self, random: &mut Pcg32) {
+        self.record.all_backends_hang.store(one_in(random, 2), Ordering::SeqCst);
+        let began = Instant::now();
+        self.proxy.terminate();
+        if one_in(random, 2) {
+            self.proxy.stall(Duration::from_millis(below(random, 140)), || {});
+        }
+        if one_in(random, 2) {
+            self.proxy.terminate();
+            self.proxy.signal("-HUP");
+        }
+        let kill = Duration::from_millis(self.longest_deadline_ms).min(LONGEST_COUNTED) + KILL_AFTER;
+        std::thread::sleep(kill.saturating_sub(began.elapsed()));
+        self.proxy.kill();
+    }
+}
--- /dev/null
+++ b/tests/proxy/support/discovery.rs
@@ -0,0 +1,139 @@
+//! Discovery on loopback: a test decides what a call is answered with.
+
+use super::{ok_response, read_message, wait_until, Reply, ReservedPort};
+use serde_json::{json, Value};
+use std::io::BufReader;
+use std::net::{SocketAddr, TcpStream};
+use std::sync::{Arc, Condvar, Mutex};
+use std::time::{Duration, Instant};
+
+/// How often a call that waits looks whether the proxy has closed it.
+const CLOSE_POLL_INTERVAL: Duration = Duration::from_millis(20);
+
+#[derive(Default)]
+struct State {
+    /// The version of the last list.
+    version: u64,
+    /// What is done with a call that waits, or with the next.
+    pending_reply: Option<Reply>,
+    /// How many calls had come when that was done last.
+    calls_before_reply: usize,
+}
+
+/// Discovery: answers a call once a test has a reply for it, or after the call's wait, or never.
+#[derive(Clone)]
+pub struct Discovery {
+    pub address: SocketAddr,
+    state: Arc<(Mutex<State>, Condvar)>,
+    request_lines: Arc<Mutex<Vec<String>>>,
+}
+
+impl Discovery {
+    pub fn start() -> Discovery {
+        Discovery::start_on(ReservedPort::bind())
+    }
+
+    pub fn start_on(port: ReservedPort) -> Discovery {
+        let listener = port.listen();
+        let address = listener.local_addr().unwrap();
+        let discovery = Discovery { address, state: Arc::default(), request_lines: Arc::default() };
+        let shared = discovery.clone();
+        std::thread::spawn(move || {
+            for stream in listener.incoming().map_while(Result::ok) {
+                let discovery = shared.clone();
+                std::thread::spawn(move || discovery.serve_connection(stream));
+            }
+        });
+        discovery
+    }
+
+    fn serve_connection(&self, mut stream: TcpStream) {
+        let mut reader = BufReader::new(stream.try_clone().unwrap());
+        while let Some(call) = read_message(&mut reader) {
+            let request_line = call.start_line.clone();
+            self.request_lines.lock().unwrap().push(call.start_line);
+            let reply = self.reply_to(&request_line, &stream);
+            if !reply.is_some_and(|reply| reply.carry_out(&mut stream)) {
+                return;
+            }
+        }
+    }
+
+    /// The reply of the test, or an empty delta once the call's wait is over; `None` where the proxy has
+    /// closed the connection.
+    fn reply_to(&self, request_line: &str, stream: &TcpStream) -> Option<Reply> {
+        let wait = query_number(request_line, "wait_ms=");
+        let end = wait.map(|wait_ms| Instant::now() + Duration::from_millis(wait_ms));
+        let mut state = self.state.0.lock().unwrap();
+        loop {
+            if is_closed_by_peer(stream) {
+                return None;
+            }
+            if let Some(reply) = state.pending_reply.take() {
+                state.calls_before_reply = self.call_count();
+                return Some(reply);
+            }
+            if end.is_some_and(|end| Instant::now() >= end) {
+                let version = query_number(request_line, "after=");
+                let delta = json!({"index": version, "snapshot": false, "endpoints": []});
+                return Some(ok_response(&delta.to_string()));
+            }
+            state = self.state.1.wait_timeout(state, CLOSE_POLL_INTERVAL).unwrap().0;
+        }
+    }
+
+    /// Sends a list of every endpoint, and waits until the proxy has called again: it holds the list then.
+    pub fn publish_snapshot(&self, endpoints: &[Value]) {
+        self.publish(true, endpoints);
+    }
+
+    /// Sends the endpoints that changed, and waits until the proxy has called again: it holds them then.
+    pub fn publish_delta(&self, endpoints: &[Value]) {
+        self.publish(false, endpoints);
+    }
+
+    fn publish(&self, is_snapshot: bool, endpoints: &[Value]) {
+        let version = self.state.0.lock().unwrap().version + 1;
+        self.state.0.lock().unwrap().version = version;
+        let list = json!({"index": version, "snapshot": is_snapshot, "endpoints": endpoints});
+        self.respond_with_body(&list.to_string());
+    }
+
+    /// Answers a call with this body, and waits until the proxy has called again.
+    pub fn respond_with_body(&self, body: &str) {
+        self.respond(ok_response(body));
+    }
+
+    /// Does this with a call, and waits until the proxy has called again.
+    pub fn respond(&self, reply: Reply) {
+        self.state.0.lock().unwrap().pending_reply = Some(reply);
+        self.state.1.notify_all();
+        wait_until("the next call of discovery", || {
+            let state = self.state.0.lock().unwrap();
+            state.pending_reply.is_none() && self.call_count() > state.calls_before_reply
+        });
+    }
+
+    /// How many calls have come so far.
+    pub fn call_count(&self) -> usize {
+        self.request_lines().len()
+    }
+
+    /// The request lines of all calls so far.
+    pub fn request_lines(&self) -> Vec<String> {
+        self.request_lines.lock().unwrap().clone()
+    }
+}
+
+/// The number that follows `key` in a request line.
+fn query_number(request_line: &str, key: &str) -> Option<u64> {
+    let digits = request_line.split_once(key)?.1;
+    digits.split(|character: char| !character.is_ascii_digit()).next()?.parse().ok()
+}
+
+fn is_closed_by_peer(stream: &TcpStream) -> bool {
+    stream.set_nonblocking(true).unwrap();
+    let is_closed = matches!(stream.peek(&mut [0]), Ok(0));
+    stream.set_nonblocking(false).unwrap();
+    is_closed
+}
--- /dev/null
+++ b/tests/proxy/support/mod.rs
@@ -0,0 +1,25 @@
+//! What the tests share: the proxy as a process, and clients, backends and a discovery on loopback.
+
+mod backend;
+mod client;
+mod discovery;
+mod faults;
+mod http;
+mod proxy_process;
+mod reserved_port;
+mod settings;
+mod slow_accept_backend;
+mod waiting;
+
+pub use backend::Backend;
+pub use client::{send_request, warm_up, Client};
+pub use discovery::Discovery;
+pub use faults::Faults;
+pub use http::{ok_response, read_message, request, Message, Reply};
+pub use proxy_process::{proxy_for, ProxyProcess};
+pub use reserved_port::{refusing_address, ReservedPort};
+pub use settings::{
+    config, config_with_long_connect_timeout, endpoint, ready_endpoints, settings, with_value,
+};
+pub use slow_accept_backend::SlowAcceptBackend;
+pub use waiting::{wait_until, FAILURE_TIMEOUT};
