--- a/src/bin/load-balancer-proxy/config.rs
+++ b/src/bin/load-balancer-proxy/config.rs
@@ -1,4 +1,4 @@
-//! The configuration of the proxy, from the file that `$BALANCER_CONFIG` names.
+//! The configuration of the proxy (not of the balancer, which is a part of its settings), from the file that `$BALANCER_CONFIG` names.
 
 use load_balancer::net::resource_exhaustion;
 use load_balancer::wire::endpoint_list::EndpointList;
@@ -20,7 +20,7 @@
 
 /// Why there is no configuration.
 #[derive(Debug, thiserror::Error)]
-pub enum ConfigError {
+pub enum ConfigFileError {
     /// The environment names no file.
     #[error("{PATH_VARIABLE}: missing, expected a file name")]
     PathMissing,
@@ -36,7 +36,7 @@
 }
 
 /// Everything that the deployment tells a proxy.
-pub struct Config {
+pub struct ProxyConfig {
     /// Where clients connect.
     pub listen: SocketAddr,
     /// Where discovery is; it may move while the proxy runs.
@@ -66,26 +66,27 @@
     pub idle_timeout: Micros,
     /// A connection that is not up after this time counts as failed.
     pub connect_timeout: Micros,
-    /// Sends to a draining backend must cease this soon after the news of it.
-    pub stop_sending: Micros,
+    /// Requests to a draining backend must cease this soon after it was listed so. They cease at once; the limit only
+    /// bounds how long a lost call to discovery may go unnoticed.
+    pub drain_notice_limit: Micros,
     /// The longest time that a client waits.
     pub longest_deadline: Micros,
 }
 
 /// Reads the file.
-pub fn load() -> Result<Config, ConfigError> {
-    let path = std::env::var_os(PATH_VARIABLE).ok_or(ConfigError::PathMissing)?;
+pub fn load() -> Result<ProxyConfig, ConfigFileError> {
+    let path = std::env::var_os(PATH_VARIABLE).ok_or(ConfigFileError::PathMissing)?;
     let path = Path::new(&path);
     let text = resource_exhaustion::retry_blocking(|| std::fs::read(path))
-        .map_err(|source| ConfigError::Unreadable { path: path.into(), source })?;
-    let document =
-        serde_json::from_slice(&text).map_err(|source| ConfigError::NotJson { path: path.into(), source })?;
-    Ok(Config::from(ProxyConfigMessage::from_value(&document)?))
+        .map_err(|source| ConfigFileError::Unreadable { path: path.into(), source })?;
+    let document = serde_json::from_slice(&text)
+        .map_err(|source| ConfigFileError::NotJson { path: path.into(), source })?;
+    Ok(ProxyConfig::from(ProxyConfigMessage::from_value(&document)?))
 }
 
-impl From<ProxyConfigMessage> for Config {
-    fn from(message: ProxyConfigMessage) -> Config {
-        Config {
+impl From<ProxyConfigMessage> for ProxyConfig {
+    fn from(message: ProxyConfigMessage) -> ProxyConfig {
+        ProxyConfig {
             listen: message.listen,
             discovery: message.discovery,
             seed: message.seed,
@@ -98,7 +99,7 @@
 
 impl From<ProxySettingsMessage> for Settings {
     fn from(message: ProxySettingsMessage) -> Settings {
-        let stop_sending = message.stop_sending_within.unwrap_or(MIN_STOP_SENDING);
+        let drain_notice_limit = message.stop_sending_within.unwrap_or(MIN_STOP_SENDING);
         Settings {
             version: 1,
             balancer: message.balancer.config,
@@ -106,7 +107,7 @@
             max_open_requests: message.max_open_requests as usize,
             idle_timeout: message.idle_timeout,
             connect_timeout: message.connect_timeout,
-            stop_sending: stop_sending.clamp(MIN_STOP_SENDING, MAX_STOP_SENDING),
+            drain_notice_limit: drain_notice_limit.clamp(MIN_STOP_SENDING, MAX_STOP_SENDING),
             longest_deadline: message.balancer.longest_deadline,
         }
     }
--- a/src/bin/load-balancer-proxy/dispatcher/deadlines.rs
+++ b/src/bin/load-balancer-proxy/dispatcher/deadlines.rs
@@ -108,6 +108,7 @@
         while let Some(id) = self.deadlines.pop_overdue(now) {
             if self.requests.get(id).is_some_and(|request| !request.is_answered()) {
                 tracing::error!(request = id.0, "request unanswered at its deadline");
+                // To the balancer: no answer is owed any more.
                 self.events.push(Event::ClientDisconnected { request: id });
                 self.answer(id, FinalAnswer::Failed);
             }
--- a/src/bin/load-balancer-proxy/dispatcher/message_handling.rs
+++ b/src/bin/load-balancer-proxy/dispatcher/message_handling.rs
@@ -80,7 +80,7 @@
 
     fn endpoint_list_arrived(&mut self, update: EndpointListUpdate, endpoints: Vec<Endpoint>) {
         let backends = self.backends.apply(update, endpoints);
-        self.status.serving.set(self.backends.has_ready());
+        self.status.is_serving.set(self.backends.has_ready());
         self.events.push(Event::EndpointListChanged { update, backends });
     }
 
--- a/src/bin/load-balancer-proxy/dispatcher/mod.rs
+++ b/src/bin/load-balancer-proxy/dispatcher/mod.rs
@@ -1,6 +1,9 @@
 //! The dispatcher owns the open requests and their attempts: it turns what happens into events for the balancer
 //! and carries out the actions that follow. Which requests are admitted, where an attempt goes and whether it is
-//! retried is decided by the balancer alone.
+//! retried is decided by the balancer.
+//!
+//! Three things are decided here, since they hold whatever the balancer does: requests past the cap on open ones are
+//! rejected, what is overdue is failed, and an attempt of an answered or expired request is not sent.
 //!
 //! | concern | module |
 //! | --- | --- |
@@ -134,11 +137,11 @@
         }
     }
 
-    /// When something is due by time alone.
+    /// When something is due by time alone: a deadline at any time, all else not before the next tick.
     fn next_wakeup(&self) -> Time {
         let balancer_due = if self.events.is_empty() { self.timers.next() } else { self.next_tick };
-        let after_tick = balancer_due.min(self.deadlines.next_overdue());
-        after_tick.max(self.next_tick).min(self.deadlines.next())
+        let tick_due = balancer_due.min(self.deadlines.next_overdue()).max(self.next_tick);
+        tick_due.min(self.deadlines.next())
     }
 
     fn run_due_work(&mut self, now: Time) {
--- a/src/bin/load-balancer-proxy/dispatcher/tests.rs
+++ b/src/bin/load-balancer-proxy/dispatcher/tests.rs
@@ -29,7 +29,7 @@
         max_open_requests: 8,
         idle_timeout: SECOND,
         connect_timeout: SECOND,
-        stop_sending: SECOND,
+        drain_notice_limit: SECOND,
         longest_deadline: SECOND,
     }
 }
--- a/src/bin/load-balancer-proxy/dispatcher/tick.rs
+++ b/src/bin/load-balancer-proxy/dispatcher/tick.rs
@@ -34,6 +34,7 @@
         }
         let mut actions = std::mem::take(&mut self.actions);
         let handled = catch_unwind(AssertUnwindSafe(|| self.balancer.handle(now, event, &mut actions)));
+        // After a panic too: what the balancer asked for before it. All open requests are failed next.
         for action in actions.drain(..) {
             self.carry_out(now, action);
         }
--- a/src/bin/load-balancer-proxy/main.rs
+++ b/src/bin/load-balancer-proxy/main.rs
@@ -1,4 +1,4 @@
-//! The HTTP proxy: logging and exit codes. Every decision is the library's.
+//! The HTTP proxy: logging and exit codes.
 
 mod clock;
 mod config;
--- a/src/bin/load-balancer-proxy/messages.rs
+++ b/src/bin/load-balancer-proxy/messages.rs
@@ -93,6 +93,6 @@
 /// State of the dispatcher that the client side reads.
 #[derive(Default)]
 pub struct ServingStatus {
-    /// Some backend can be sent requests.
-    pub serving: Cell<bool>,
+    /// Some listed backend can be sent requests, and the dispatcher runs.
+    pub is_serving: Cell<bool>,
 }
--- a/src/bin/load-balancer-proxy/reload/mod.rs
+++ b/src/bin/load-balancer-proxy/reload/mod.rs
@@ -1,4 +1,8 @@
 //! SIGHUP: the configuration is read and checked beside the requests and comes into force in one step.
+//!
+//! A setting that may change while the proxy runs is held by the server (requests are parsed by it), the dispatcher (which
+//! passes it on to the connection pool and the balancer) and, for calls to discovery, the watch's settings. What needs a
+//! restart is listed in `restart_only`.
 
 mod config_reader;
 mod restart_only;
@@ -24,7 +28,7 @@
 pub fn watch_settings(settings: &Settings) -> WatchSettings {
     WatchSettings {
         connect_timeout: duration(settings.connect_timeout),
-        stop_sending: duration(settings.stop_sending),
+        drain_notice_limit: duration(settings.drain_notice_limit),
         fleet_position: f64::from(settings.balancer.proxy_index) / f64::from(settings.balancer.proxy_count),
     }
 }
--- a/src/bin/load-balancer-proxy/reload/restart_only.rs
+++ b/src/bin/load-balancer-proxy/reload/restart_only.rs
@@ -1,6 +1,6 @@
 //! Keys of the configuration that keep their values until a restart.
 
-use crate::config::Config;
+use crate::config::ProxyConfig;
 use load_balancer::DiscoveryMode;
 use std::net::SocketAddr;
 
@@ -24,7 +24,7 @@
 
 impl RestartOnlySettings {
     /// Those of a configuration.
-    pub fn of(config: &Config) -> RestartOnlySettings {
+    pub fn of(config: &ProxyConfig) -> RestartOnlySettings {
         RestartOnlySettings {
             listen: config.listen,
             seed: config.seed,
--- a/src/bin/load-balancer-proxy/server/client_connection.rs
+++ b/src/bin/load-balancer-proxy/server/client_connection.rs
@@ -1,4 +1,7 @@
 //! The state of a client connection, its timeouts, and the request to close it.
+//!
+//! A connection is idle, receives the head of a request, handles it (reads its body, then awaits its answer), and is idle
+//! again. What it does follows from the first byte since the last answer and from what its task has noted.
 
 use crate::clock::{micros, Clock};
 use load_balancer::{Micros, Time};
@@ -9,7 +12,7 @@
 
 /// A connection without input for this long is closed, also between requests: silent peers would use up the
 /// descriptors. A proxy may close an idle connection after 2 s.
-const IDLE_TIMEOUT: Duration = Duration::from_millis(2100);
+const CLIENT_IDLE_TIMEOUT: Duration = Duration::from_millis(2100);
 /// Time for a request to be complete, from the opening of its connection, or from its own first byte if
 /// others were answered before it. A peer that never completes one is owed an error within 3 s; the rest
 /// covers a stall.
@@ -17,7 +20,7 @@
 /// At capacity, a connection without any input is closed after this time: a client sends its request far
 /// sooner.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(100);
-/// At capacity, a request without further input is rejected after this time.
+/// At capacity, a request without further input is answered 408 after this time.
 const STALLED_REQUEST_TIMEOUT: Duration = Duration::from_millis(450);
 
 /// A first byte that is read this soon after the accept may have arrived before it.
@@ -52,8 +55,8 @@
 pub enum CloseMode {
     /// Between requests; one that has begun is answered first.
     Graceful,
-    /// A request that has begun is answered with an error.
-    RejectRequest,
+    /// A request that has begun and is not complete is answered 408.
+    TimeOutRequest,
 }
 
 /// When and how a connection is closed unless its state changes.
@@ -80,12 +83,12 @@
     /// The head of a request was read, and its answer has not been given.
     is_handling_request: Cell<bool>,
     /// A request on it was read whole and waits for its answer.
-    pub is_awaiting_answer: Cell<bool>,
+    is_awaiting_answer: Cell<bool>,
     close_mode: Cell<Option<CloseMode>>,
     /// It was asked to close.
     pub close_requested: Notify,
-    /// The request that has begun on it is to be answered with an error.
-    pub request_rejected: Notify,
+    /// The request whose body is being read is to be answered 408.
+    pub request_timed_out: Notify,
     /// It has become idle, and its idle timeout begins.
     pub became_idle: Notify,
 }
@@ -105,7 +108,7 @@
             is_awaiting_answer: Cell::default(),
             close_mode: Cell::default(),
             close_requested: Notify::new(),
-            request_rejected: Notify::new(),
+            request_timed_out: Notify::new(),
             became_idle: Notify::new(),
         }
     }
@@ -116,6 +119,16 @@
         self.idle_since.set(None);
     }
 
+    /// The request was read whole and waits for its answer, or does so no longer.
+    pub fn set_awaiting_answer(&self, is_awaiting_answer: bool) {
+        self.is_awaiting_answer.set(is_awaiting_answer);
+    }
+
+    /// A request on it was read whole and waits for its answer.
+    pub fn is_awaiting_answer(&self) -> bool {
+        self.is_awaiting_answer.get()
+    }
+
     /// The request has its answer.
     pub fn end_request(&self) {
         self.is_handling_request.set(false);
@@ -152,7 +165,7 @@
         }
         if self.activity.first_byte_at.get().is_some() {
             let at = self.request_read_deadline();
-            return Some(CloseDeadline { at, mode: CloseMode::RejectRequest });
+            return Some(CloseDeadline { at, mode: CloseMode::TimeOutRequest });
         }
         if self.close_mode.get().is_some() {
             return None;
@@ -173,7 +186,7 @@
             }
             Some(last_byte_at) => {
                 let at = last_byte_at + micros(STALLED_REQUEST_TIMEOUT);
-                CloseDeadline { at, mode: CloseMode::RejectRequest }
+                CloseDeadline { at, mode: CloseMode::TimeOutRequest }
             }
         })
     }
@@ -193,8 +206,8 @@
     pub fn request_close(&self, mode: CloseMode) {
         self.close_mode.set(Some(mode));
         self.close_requested.notify_one();
-        if mode == CloseMode::RejectRequest {
-            self.request_rejected.notify_one();
+        if mode == CloseMode::TimeOutRequest {
+            self.request_timed_out.notify_one();
         }
     }
 
@@ -213,6 +226,11 @@
         self.activity.last_byte_at.get().is_none()
     }
 
+    /// The head of a request on it has begun and is not complete.
+    pub fn is_receiving_head(&self) -> bool {
+        !self.is_handling_request.get() && self.activity.first_byte_at.get().is_some()
+    }
+
     /// A request on it has begun and is not complete.
     pub fn is_receiving_request(&self) -> bool {
         !self.is_awaiting_answer.get()
@@ -221,10 +239,10 @@
 
     fn idle_deadline(&self) -> Time {
         match self.idle_since.get() {
-            Some(since) => since + micros(IDLE_TIMEOUT),
+            Some(since) => since + micros(CLIENT_IDLE_TIMEOUT),
             None => {
                 let least = self.accepted_at + micros(SILENCE_TIMEOUT);
-                least.max(self.opened_at + micros(IDLE_TIMEOUT))
+                least.max(self.opened_at + micros(CLIENT_IDLE_TIMEOUT))
             }
         }
     }
--- a/src/bin/load-balancer-proxy/server/client_socket.rs
+++ b/src/bin/load-balancer-proxy/server/client_socket.rs
@@ -24,17 +24,18 @@
 /// answer, and peers that do not close hold a descriptor for so long.
 const LINGER: Duration = Duration::from_millis(500);
 /// The same for a peer whose request was never complete: it has ceased to send.
-const REJECTED_LINGER: Duration = Duration::from_millis(100);
-/// The answer to a request that was never complete.
-const REJECTION: &[u8] = b"HTTP/1.1 408 Request Timeout\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
+const TIMEOUT_LINGER: Duration = Duration::from_millis(100);
+/// The answer to a request whose head was never complete, of which hyper knows nothing yet.
+const TIMEOUT_RESPONSE: &[u8] =
+    b"HTTP/1.1 408 Request Timeout\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
 
 /// What a connection ends with.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum LastResponse {
     /// The answer to a complete request.
     Answer,
-    /// An error for a request that was never complete.
-    Rejection,
+    /// The answer 408 to a request whose head was never complete.
+    Timeout,
 }
 
 struct Socket {
@@ -72,12 +73,12 @@
         })))
     }
 
-    /// Answers the request that has begun with an error, and ends the connection.
-    pub async fn reject(&self) {
-        let written = poll_fn(|cx| Pin::new(&mut self.0.borrow_mut().io).poll_write(cx, REJECTION));
-        let _ = tokio::time::timeout(REJECTED_LINGER, written).await;
+    /// Answers the request that has begun with 408, and ends the connection.
+    pub async fn send_timeout_response(&self) {
+        let written = poll_fn(|cx| Pin::new(&mut self.0.borrow_mut().io).poll_write(cx, TIMEOUT_RESPONSE));
+        let _ = tokio::time::timeout(TIMEOUT_LINGER, written).await;
         self.0.borrow_mut().has_written = true;
-        self.linger(LastResponse::Rejection).await;
+        self.linger(LastResponse::Timeout).await;
     }
 
     /// Ends the connection after its last answer: reads what still comes, up to the end of the client's
@@ -89,7 +90,7 @@
         }
         let timeout = match last_response {
             LastResponse::Answer => LINGER,
-            LastResponse::Rejection => REJECTED_LINGER,
+            LastResponse::Timeout => TIMEOUT_LINGER,
         };
         let end = async {
             let shutdown = poll_fn(|cx| Pin::new(&mut self.0.borrow_mut().io).poll_shutdown(cx)).await;
--- a/src/bin/load-balancer-proxy/server/connection_task.rs
+++ b/src/bin/load-balancer-proxy/server/connection_task.rs
@@ -32,8 +32,8 @@
     Wait,
     /// The current request, if there is one, is the last.
     StopAfterRequest,
-    /// The request that was begun is answered with an error.
-    Reject,
+    /// The request whose head is incomplete is answered 408. One whose body is incomplete is answered by its handler.
+    TimeOutRequest,
     /// The connection is dropped.
     Drop,
 }
@@ -44,11 +44,7 @@
             return CloseStep::Drop; // no request has begun: no answer is owed
         }
         match client.close_mode() {
-            Some(CloseMode::RejectRequest)
-                if client.is_receiving_request() && client.close_deadline().is_some() =>
-            {
-                CloseStep::Reject
-            }
+            Some(CloseMode::TimeOutRequest) if client.is_receiving_head() => CloseStep::TimeOutRequest,
             // A request begun meanwhile is answered, with the notice that it is the last.
             Some(CloseMode::Graceful) if !client.is_receiving_request() => CloseStep::StopAfterRequest,
             _ => CloseStep::Wait,
@@ -58,7 +54,7 @@
 
 fn last_response(client: &ClientConnection) -> LastResponse {
     match client.close_mode() {
-        Some(CloseMode::RejectRequest) => LastResponse::Rejection,
+        Some(CloseMode::TimeOutRequest) => LastResponse::Timeout,
         _ => LastResponse::Answer,
     }
 }
@@ -85,7 +81,7 @@
         let socket = ClientSocket::new(stream, client.activity.clone());
         let connection = http.serve_connection(socket.clone(), service);
         tokio::pin!(connection);
-        let disconnected = poll_fn(|cx| match client.is_awaiting_answer.get() {
+        let disconnected = poll_fn(|cx| match client.is_awaiting_answer() {
             true => socket.poll_disconnected(cx),
             false => Poll::Pending,
         });
@@ -112,7 +108,7 @@
             match CloseStep::of(client) {
                 CloseStep::Wait => {}
                 CloseStep::StopAfterRequest => connection.as_mut().graceful_shutdown(),
-                CloseStep::Reject => return socket.reject().await,
+                CloseStep::TimeOutRequest => return socket.send_timeout_response().await,
                 CloseStep::Drop => return,
             }
         }
--- a/src/bin/load-balancer-proxy/server/graceful_shutdown.rs
+++ b/src/bin/load-balancer-proxy/server/graceful_shutdown.rs
@@ -11,14 +11,12 @@
 
 /// Connections are accepted for this long after SIGTERM: clients still open some.
 const ACCEPT_PERIOD: Duration = Duration::from_millis(500);
-/// The longest deadline of a request that is waited for. SIGKILL follows it by 0.7 s.
+/// The longest time of a request that is waited for. The platform sends SIGKILL 0.7 s after it, counted from SIGTERM.
 const MAX_REQUEST_TIME: Micros = Micros(3_000_000);
-/// Time for answers after the longest deadline; the rest up to SIGKILL covers a stall of 0.15 s and the way
-/// to the client.
+/// Time for answers after that; the 0.2 s up to SIGKILL are for a stall of 0.15 s and the way to the client.
 const ANSWER_PERIOD: Micros = Micros(500_000);
-/// Time to write the last rejections. It starts with them: a process that was stalled until then has written
-/// none.
-const REJECTION_PERIOD: Duration = Duration::from_millis(100);
+/// Time to write the last 408 responses, counted from then: a process that was stalled until then has written none.
+const TIMEOUT_RESPONSE_PERIOD: Duration = Duration::from_millis(100);
 
 /// When the listener is closed if the shutdown begins now.
 pub(super) fn end_of_accepting() -> Instant {
@@ -36,7 +34,7 @@
         deadline
     }
 
-    /// Serves what the system has accepted and what is open, up to the deadline; rejects what is left then.
+    /// Serves what the system has accepted and what is open, up to the deadline; answers incomplete requests 408 then.
     pub(super) async fn finish(self: &Rc<Self>, acceptor: Acceptor, deadline: Time) {
         let queue = acceptor.into_queue().inspect_err(|error| tracing::error!(%error, "listen queue lost"));
         let mut queue = queue.ok();
@@ -44,8 +42,8 @@
         if tokio::time::timeout_at(deadline, self.drain(&mut queue)).await.is_ok() {
             return;
         }
-        self.close_connections(ClientConnection::is_receiving_request, CloseMode::RejectRequest);
-        let _ = tokio::time::timeout(REJECTION_PERIOD, self.drain(&mut queue)).await;
+        self.close_connections(ClientConnection::is_receiving_request, CloseMode::TimeOutRequest);
+        let _ = tokio::time::timeout(TIMEOUT_RESPONSE_PERIOD, self.drain(&mut queue)).await;
     }
 
     /// Serves what waits in the queue and what is open, until nothing is.
--- a/src/bin/load-balancer-proxy/server/mod.rs
+++ b/src/bin/load-balancer-proxy/server/mod.rs
@@ -1,5 +1,13 @@
 //! The client side of the proxy: accepts client connections, checks requests, hands them to the dispatcher
 //! and writes the final answers.
+//!
+//! | concern | module |
+//! | --- | --- |
+//! | accepting, and limits on open connections | `listener`, `capacity` |
+//! | one connection | `connection_task`, `client_connection`, `client_socket` |
+//! | one request | `request_handler`, `request_parsing`, `request_error`, `abandonment_guard`, `responses` |
+//! | readiness probe | `readiness` |
+//! | the end of the process | `graceful_shutdown` |
 
 mod abandonment_guard;
 mod capacity;
@@ -80,7 +88,7 @@
     /// Serves until `shutdown_signal` is ready; returns when every request received has its answer.
     pub async fn run(self: Rc<Self>, listener: TcpListener, shutdown_signal: impl Future<Output = ()>) {
         let mut acceptor = Acceptor::new(listener);
-        let deadline = self.accept_until_shutdown(&mut acceptor, shutdown_signal).await;
+        let deadline = self.accept_until_listener_closes(&mut acceptor, shutdown_signal).await;
         self.finish(acceptor, deadline).await;
     }
 
@@ -100,7 +108,7 @@
     }
 
     /// Accepts connections until some time after the shutdown signal; returns the deadline of all answers.
-    async fn accept_until_shutdown(
+    async fn accept_until_listener_closes(
         self: &Rc<Self>, acceptor: &mut Acceptor, shutdown_signal: impl Future<Output = ()>,
     ) -> Time {
         tokio::pin!(shutdown_signal);
--- a/src/bin/load-balancer-proxy/server/readiness.rs
+++ b/src/bin/load-balancer-proxy/server/readiness.rs
@@ -14,7 +14,7 @@
 impl Server {
     /// 200 while some backend can be sent requests and no shutdown has begun, else 503.
     pub(super) fn readiness(&self) -> ServerResponse {
-        if self.status.serving.get() && !self.is_shutting_down.get() {
+        if self.status.is_serving.get() && !self.is_shutting_down.get() {
             plain(StatusCode::OK, "ready")
         } else {
             plain(StatusCode::SERVICE_UNAVAILABLE, "not ready")
--- a/src/bin/load-balancer-proxy/server/request_error.rs
+++ b/src/bin/load-balancer-proxy/server/request_error.rs
@@ -40,9 +40,9 @@
     /// Its body is malformed or was cut off.
     #[error("the body is broken")]
     InvalidBody,
-    /// Its body was not complete in time.
+    /// Its body was not complete in time, or before the connection had to close at capacity or at the shutdown.
     #[error("the body did not come in time")]
-    BodyTimeout,
+    BodyIncomplete,
 }
 
 impl RequestError {
@@ -50,7 +50,7 @@
     pub fn response(self) -> ServerResponse {
         let status = match self {
             RequestError::BodyTooLarge => StatusCode::PAYLOAD_TOO_LARGE,
-            RequestError::BodyTimeout => StatusCode::REQUEST_TIMEOUT,
+            RequestError::BodyIncomplete => StatusCode::REQUEST_TIMEOUT,
             _ => StatusCode::BAD_REQUEST,
         };
         plain(status, self.to_string())
--- a/src/bin/load-balancer-proxy/server/request_handler.rs
+++ b/src/bin/load-balancer-proxy/server/request_handler.rs
@@ -24,8 +24,8 @@
 /// A valid request that was read whole.
 struct CompleteRequest {
     received_at: Time,
-    /// How long it may have waited before it was read.
-    unobserved_time: Micros,
+    /// How long it may have waited before it was read, in the system's queues or during a stall.
+    time_before_read: Micros,
     parsed: ParsedRequest,
     head: Parts,
     body: Bytes,
@@ -60,7 +60,7 @@
         &self, request: Request<Incoming>, client: &ClientConnection,
     ) -> Result<CompleteRequest, RequestError> {
         let received_at = self.clock.now();
-        let unobserved_time = Micros(self.stall_detector.unobserved_time().0 + client.accept_delay().0);
+        let time_before_read = Micros(self.stall_detector.unobserved_time().0 + client.accept_delay().0);
         let (head, body) = request.into_parts();
         let mut parsed = ParsedRequest::parse(&self.settings.borrow(), &head, body.size_hint().exact())?;
         if body.size_hint().lower() > MAX_BODY_BYTES as u64 {
@@ -72,7 +72,7 @@
         if parsed.settings_version != self.settings.borrow().version {
             parsed = ParsedRequest::parse(&self.settings.borrow(), &head, Some(body.len() as u64))?;
         }
-        Ok(CompleteRequest { received_at, unobserved_time, parsed, head, body })
+        Ok(CompleteRequest { received_at, time_before_read, parsed, head, body })
     }
 
     async fn read_body(
@@ -81,9 +81,9 @@
         let collected = tokio::select! {
             biased;
             collected = Limited::new(body, MAX_BODY_BYTES).collect() => collected,
-            () = client.request_rejected.notified() => return Err(RequestError::BodyTimeout),
+            () = client.request_timed_out.notified() => return Err(RequestError::BodyIncomplete),
             () = tokio::time::sleep_until(self.clock.instant(deadline)) => {
-                return Err(RequestError::BodyTimeout);
+                return Err(RequestError::BodyIncomplete);
             }
         };
         match collected {
@@ -95,8 +95,8 @@
 
     /// Sends a request to the dispatcher and waits for its final answer.
     async fn forward(&self, request: CompleteRequest, client: &ClientConnection) -> ServerResponse {
-        let CompleteRequest { received_at, unobserved_time, parsed, head, body } = request;
-        let upstream_request = Rc::new(UpstreamRequest::new(upstream_head(head), body, unobserved_time));
+        let CompleteRequest { received_at, time_before_read, parsed, head, body } = request;
+        let upstream_request = Rc::new(UpstreamRequest::new(upstream_head(head), body, time_before_read));
         let id = RequestId(self.next_id());
         let guard = AbandonmentGuard::new(self, id, upstream_request.clone(), received_at);
         tracing::debug!(
@@ -116,9 +116,9 @@
             upstream_request,
             answer: answer_sender,
         }));
-        client.is_awaiting_answer.set(true);
+        client.set_awaiting_answer(true);
         let answer = answer.await;
-        client.is_awaiting_answer.set(false);
+        client.set_awaiting_answer(false);
         // Without a dispatcher, which may have panicked, every request fails.
         complete(guard, answer.unwrap_or(FinalAnswer::Failed))
     }
--- a/src/bin/load-balancer-proxy/startup.rs
+++ b/src/bin/load-balancer-proxy/startup.rs
@@ -1,7 +1,7 @@
 //! Start-up: brings up the event loop, the listening socket and the tasks of the proxy, in order.
 
 use crate::clock::Clock;
-use crate::config::Config;
+use crate::config::ProxyConfig;
 use crate::dispatcher::{Dispatcher, DispatcherHandles};
 use crate::messages::{DispatcherMessage, ServingStatus};
 use crate::reload::{self, Reloader, RestartOnlySettings};
@@ -11,6 +11,7 @@
 use load_balancer::discovery::start_times::StartTimes;
 use load_balancer::discovery::{Watch, WatchSettings};
 use load_balancer::net::resource_exhaustion::retry_blocking;
+use load_balancer::wire::endpoint_list::Endpoint;
 use load_balancer::{ConfigError, EndpointListUpdate};
 use std::cell::Cell;
 use std::io;
@@ -109,7 +110,7 @@
 /// # Errors
 ///
 /// [`StartupError`] if it could not start; nothing fails after that.
-pub fn run(config: Config) -> Result<(), StartupError> {
+pub fn run(config: ProxyConfig) -> Result<(), StartupError> {
     let clock = Clock::new();
     let stall_detector = StallDetector::new(clock);
     let runtime = retry_blocking(|| build_runtime(&stall_detector)).map_err(StartupError::Runtime)?;
@@ -124,7 +125,9 @@
         .build()
 }
 
-async fn serve(mut config: Config, clock: Clock, stall_detector: StallDetector) -> Result<(), StartupError> {
+async fn serve(
+    mut config: ProxyConfig, clock: Clock, stall_detector: StallDetector,
+) -> Result<(), StartupError> {
     let signals = Signals::install()?;
     let listener = open_listener(config.listen)?;
     tokio::task::spawn_local(stall_detector.clone().keep_polling());
@@ -137,7 +140,9 @@
     let server = Rc::new(server);
     let (discovery_address, watched_address) = watch::channel(config.discovery);
     let watch_settings = Rc::new(Cell::new(reload::watch_settings(settings)));
-    let discovery = prepare_discovery(&mut config, watched_address, watch_settings.clone(), &shared);
+    let mut cached = place_cached_list(&mut config, clock);
+    let discovery = build_watch(&config, &mut cached, watched_address, watch_settings.clone(), &shared);
+    send_cached_list(&shared, cached.endpoints);
     let restart_only = RestartOnlySettings::of(&config);
     start_dispatcher(config, pool, shared, messages)?;
     tokio::task::spawn_local(discovery.run());
@@ -172,39 +177,52 @@
     }
 }
 
-/// Sends the cached list to the dispatcher, and returns the watch on discovery that goes on from it.
-fn prepare_discovery(
-    config: &mut Config, address: watch::Receiver<SocketAddr>, settings: Rc<Cell<WatchSettings>>,
-    shared: &SharedHandles,
-) -> Watch {
-    let clock = shared.clock;
-    let cached = config.cached_list.take();
-    let version = cached.as_ref().map(|list| list.version);
-    let mut endpoints = cached.map(|list| list.endpoints).unwrap_or_default();
+/// The endpoint list of before the start, with the starts of its backends on the clock of this process.
+struct CachedList {
+    version: Option<u64>,
+    endpoints: Vec<Endpoint>,
+    start_times: StartTimes,
+}
+
+fn place_cached_list(config: &mut ProxyConfig, clock: Clock) -> CachedList {
+    let list = config.cached_list.take();
+    let version = list.as_ref().map(|list| list.version);
+    let mut endpoints = list.map(|list| list.endpoints).unwrap_or_default();
     let mut start_times = StartTimes::default();
     start_times.place(clock.now(), true, &mut endpoints);
+    CachedList { version, endpoints, start_times }
+}
+
+/// The watch on discovery, which goes on from the cached list.
+fn build_watch(
+    config: &ProxyConfig, cached: &mut CachedList, address: watch::Receiver<SocketAddr>,
+    settings: Rc<Cell<WatchSettings>>, shared: &SharedHandles,
+) -> Watch {
+    let clock = shared.clock;
     let dispatcher = shared.dispatcher.clone();
-    let watch = Watch {
+    Watch {
         address,
         mode: config.settings.balancer.discovery,
         settings,
-        version,
+        version: cached.version,
         resubscribe: shared.resubscribe.clone(),
         now: Box::new(move || clock.now()),
-        start_times,
+        start_times: std::mem::take(&mut cached.start_times),
         on_update: Box::new(move |update, endpoints| {
             let _ = dispatcher.send(DispatcherMessage::EndpointList { update, endpoints });
         }),
-    };
-    // An empty list is sent too: the balancer subscribes only once it has heard of its start.
+    }
+}
+
+/// Sends the cached list to the dispatcher, an empty one too: the balancer subscribes only once it has handled an event.
+fn send_cached_list(shared: &SharedHandles, endpoints: Vec<Endpoint>) {
     let update = EndpointListUpdate::Cached;
     let _ = shared.dispatcher.send(DispatcherMessage::EndpointList { update, endpoints });
-    watch
 }
 
 /// Starts the dispatcher. If it ends, the proxy reports that it is not ready: it would fail every request.
 fn start_dispatcher(
-    config: Config, pool: ConnectionPool, shared: SharedHandles,
+    config: ProxyConfig, pool: ConnectionPool, shared: SharedHandles,
     messages: mpsc::UnboundedReceiver<DispatcherMessage>,
 ) -> Result<(), StartupError> {
     let status = shared.status.clone();
@@ -220,7 +238,7 @@
         if let Err(error) = dispatcher.await {
             tracing::error!(%error, "dispatcher ended");
         }
-        status.serving.set(false);
+        status.is_serving.set(false);
     });
     Ok(())
 }
--- a/src/bin/load-balancer-proxy/upstream/attempt.rs
+++ b/src/bin/load-balancer-proxy/upstream/attempt.rs
@@ -39,7 +39,7 @@
 pub struct AttemptLimits {
     /// A request that is not fully written by then is not sent.
     pub write_by: Time,
-    /// When the client's time is over.
+    /// When the client's time is over: what is left of it is sent to the backend.
     pub deadline: Time,
 }
 
@@ -47,8 +47,15 @@
 struct StaleConnection;
 
 impl ConnectionPool {
-    /// Makes one attempt; dropping the future closes its connection. The outcome is [`Outcome::NotSent`] unless
-    /// the request is fully written by [`AttemptLimits::write_by`] and before it is answered otherwise.
+    /// Makes one attempt; dropping the future, as the dispatcher does at the deadline, closes its connection.
+    ///
+    /// | what happened | outcome |
+    /// | --- | --- |
+    /// | a complete response | [`Outcome::Success`], [`Outcome::ErrorResponse`] or [`Outcome::Rejected`] |
+    /// | the time to write was over, the request was answered, the backend began to drain, or this machine was short of resources | [`Outcome::NotSent`] |
+    /// | no connection, or it broke before the request was written whole | [`Outcome::ConnectFailed`] |
+    /// | the connection broke after that | [`Outcome::ConnectionReset`] |
+    /// | what came back is no valid response | [`Outcome::ErrorResponse`] |
     pub async fn attempt(
         &self, upstream: &Rc<Upstream>, request: &UpstreamRequest, limits: AttemptLimits,
     ) -> UpstreamResult {
--- a/src/bin/load-balancer-proxy/upstream/request.rs
+++ b/src/bin/load-balancer-proxy/upstream/request.rs
@@ -18,15 +18,21 @@
     head: Request<()>,
     body: Bytes,
     /// How long it may have waited before it was read: so much of its client's time had passed already.
-    unseen_wait: Micros,
+    time_before_read: Micros,
     is_answered: Cell<bool>,
     answered: Notify,
 }
 
 impl UpstreamRequest {
-    /// `unseen_wait` is how long the request may have waited before it was read.
-    pub fn new(head: Request<()>, body: Bytes, unseen_wait: Micros) -> UpstreamRequest {
-        UpstreamRequest { head, body, unseen_wait, is_answered: Cell::new(false), answered: Notify::new() }
+    /// `time_before_read` is how long the request may have waited before it was read.
+    pub fn new(head: Request<()>, body: Bytes, time_before_read: Micros) -> UpstreamRequest {
+        UpstreamRequest {
+            head,
+            body,
+            time_before_read,
+            is_answered: Cell::new(false),
+            answered: Notify::new(),
+        }
     }
 
     /// The request has had its final answer, or its client is gone: no attempt of it is written from now on.
@@ -66,6 +72,6 @@
 
     /// The time left that a backend is sent, in milliseconds, where `time_left` remains until the deadline.
     fn remaining_millis(&self, time_left: Micros) -> u64 {
-        time_left.0.saturating_sub(self.unseen_wait.0).saturating_sub(TIME_LEFT_MARGIN.0) / 1000
+        time_left.0.saturating_sub(self.time_before_read.0).saturating_sub(TIME_LEFT_MARGIN.0) / 1000
     }
 }
--- a/src/bin/load-balancer-proxy/upstream/response.rs
+++ b/src/bin/load-balancer-proxy/upstream/response.rs
@@ -58,11 +58,11 @@
     let (head, body) = sender.send_request(request).await?.into_parts();
     let collected = Limited::new(body, MAX_BODY_BYTES).collect().await;
     let body = collected.map_err(|error| ExchangeError::from_body_error(&*error))?;
-    judge(head, body.to_bytes())
+    classify(head, body.to_bytes())
 }
 
 /// The result that a complete response stands for.
-fn judge(mut head: Parts, body: Bytes) -> Result<UpstreamResult, ExchangeError> {
+fn classify(mut head: Parts, body: Bytes) -> Result<UpstreamResult, ExchangeError> {
     match head.status {
         StatusCode::OK if !is_readable(&head.headers) => Err(ExchangeError::MalformedResponse),
         StatusCode::OK => {
--- a/src/bin/simulator-adapter/instances.rs
+++ b/src/bin/simulator-adapter/instances.rs
@@ -29,7 +29,7 @@
 impl RunningInstance {
     fn new(settings: &Value, seed: u64) -> Result<RunningInstance, WireError> {
         let SettingsMessage { config, names, .. } = SettingsMessage::from_value(settings)?;
-        let balancer = Balancer::new(config, seed).map_err(|error| settings::unsound(&error))?;
+        let balancer = Balancer::new(config, seed).map_err(|error| settings::config_error(&error))?;
         Ok(RunningInstance { balancer, names })
     }
 }
--- a/src/discovery/call_times.rs
+++ b/src/discovery/call_times.rs
@@ -1,18 +1,22 @@
 //! How long a call to discovery may wait for changes and for its answer, and the backoff between calls.
 //!
-//! A call may be swallowed. That it is lost has to show, and the call after it to be answered, before what it
-//! missed counts as notified.
+//! A call can be lost without a sign. Its loss has to be noticed, and the next call answered, before the platform counts
+//! the proxy as notified of what it missed: where the list is subscribed to, change wait + grace + next call <= 6 s.
+//! A pushed list comes from an agent on the proxy's own machine, which the same calls ask for changes at no cost to
+//! others; there the limit is the settings' time for ceasing to send to a draining backend.
 
 use super::watch::WatchSettings;
 use crate::config::DiscoveryMode;
 use std::time::Duration;
 
-/// The part of the time for ceasing to send that a call for a pushed list waits for changes. What its agent
-/// has counts as notified at once, whatever became of the call.
+/// Part of the drain notice limit that a call for a pushed list waits for changes. The platform counts the proxy as
+/// notified of what its agent has at once, whatever became of the call.
 const PUSH_WAIT_DIVISOR: u32 = 2;
-/// The part of it that an answer of the agent may take; also the longest backoff.
+/// Part of it that an answer of the agent may take.
 const PUSH_GRACE_DIVISOR: u32 = 4;
-/// What discovery has to report counts as notified so long after it had it and could be reached.
+/// Part of it that a backoff lasts at most.
+const MAX_BACKOFF_DIVISOR: u32 = 4;
+/// The proxy counts as notified of a change this long after discovery had it and could be reached.
 const NOTIFIED_WITHIN: Duration = Duration::from_secs(6);
 /// An answer of a service for the whole fleet that is this late does not come.
 const POLL_GRACE: Duration = Duration::from_millis(1500);
@@ -32,7 +36,7 @@
 
 /// How long calls may take.
 pub(super) struct CallTimes {
-    /// The whole list may take this long before it counts as late.
+    /// The whole list is not waited for at discovery, but may take this long in its queue.
     pub(super) snapshot_wait: Duration,
     /// Discovery holds a call for changes at most this long.
     pub(super) change_wait: Duration,
@@ -46,8 +50,8 @@
         match mode {
             DiscoveryMode::Push => CallTimes {
                 snapshot_wait: Duration::ZERO,
-                change_wait: settings.stop_sending / PUSH_WAIT_DIVISOR,
-                grace: settings.stop_sending / PUSH_GRACE_DIVISOR,
+                change_wait: settings.drain_notice_limit / PUSH_WAIT_DIVISOR,
+                grace: settings.drain_notice_limit / PUSH_GRACE_DIVISOR,
             },
             DiscoveryMode::Subscribe(_) => {
                 let spread = 1.0 - POLL_SPREAD * settings.fleet_position;
@@ -63,5 +67,5 @@
 
 /// The backoff after this one.
 pub(super) fn next_backoff(backoff: Duration, settings: &WatchSettings) -> Duration {
-    (backoff * 2).min(settings.stop_sending / PUSH_GRACE_DIVISOR)
+    (backoff * 2).min(settings.drain_notice_limit / MAX_BACKOFF_DIVISOR)
 }
--- a/src/discovery/watch.rs
+++ b/src/discovery/watch.rs
@@ -18,8 +18,8 @@
 pub struct WatchSettings {
     /// A connection that is not up after this time counts as failed.
     pub connect_timeout: Duration,
-    /// Sends to a draining backend must cease this soon after the news of it.
-    pub stop_sending: Duration,
+    /// Requests to a draining backend must cease this soon after it was listed so: what a lost call may delay.
+    pub drain_notice_limit: Duration,
     /// The proxy's index as a part of the proxy count, from 0 up to 1.
     pub fleet_position: f64,
 }
@@ -28,7 +28,7 @@
 pub struct Watch {
     /// Where discovery is; it may move while the proxy runs.
     pub address: watch::Receiver<SocketAddr>,
-    /// Whether changes are pushed or polled for.
+    /// Whether the list is pushed or subscribed to.
     pub mode: DiscoveryMode,
     /// Read for each call; they may change while the proxy runs.
     pub settings: Rc<Cell<WatchSettings>>,
@@ -45,7 +45,15 @@
 }
 
 impl Watch {
-    /// Watches for ever. Each next call goes out at once, so that no change falls between two.
+    /// Watches for ever.
+    ///
+    /// | after | the next call |
+    /// | --- | --- |
+    /// | a list | at once, so that no change falls between two calls |
+    /// | a move of discovery | at once, for the whole list |
+    /// | a failure, list pushed | after a backoff, for the whole list |
+    /// | a timeout, or a failure right after a move, list subscribed to | at once |
+    /// | any other failure, list subscribed to | when the balancer asks for it |
     pub async fn run(self) {
         let waits_for_balancer = self.mode != DiscoveryMode::Push;
         let running = RunningWatch {
@@ -174,6 +182,7 @@
         self.watch.version = Some(version);
         self.waits_for_balancer = false;
         self.backoff = INITIAL_BACKOFF;
+        // An empty answer tells the balancer that its subscription stands.
         if is_snapshot {
             (self.watch.on_update)(EndpointListUpdate::Snapshot, list.endpoints);
         } else if !list.endpoints.is_empty() || !self.is_pushed() {
--- a/src/wire/proxy_config.rs
+++ b/src/wire/proxy_config.rs
@@ -66,7 +66,7 @@
     fn decode(settings: &Object) -> Result<ProxySettingsMessage, WireError> {
         let balancer = SettingsMessage::decode(settings)?;
         if let Err(error) = balancer.config.validate() {
-            let WireError { path, fault } = settings::unsound(&error);
+            let WireError { path, fault } = settings::config_error(&error);
             return Err(settings.error(&path, fault));
         }
         let limits = settings.object("limits");
--- a/src/wire/settings.rs
+++ b/src/wire/settings.rs
@@ -46,6 +46,7 @@
             worst_class_goal_weight: goal.required("worst_class")?,
             cross_zone_cost: settings.object("costs").optional("cross_zone")?.unwrap_or(0.0),
             discovery,
+            // Absent or any other word: the weights are no report of load.
             live_weights: matches!(settings.required("weight_source"), Ok("live")),
             max_attempts: limits.required("max_attempts")?,
             can_cancel: limits.required("cancel")?,
@@ -60,8 +61,8 @@
     }
 }
 
-/// The error of settings whose configuration is not sound.
-pub fn unsound(error: &ConfigError) -> WireError {
+/// The error for a field of the configuration that is out of its range.
+pub fn config_error(error: &ConfigError) -> WireError {
     WireError { path: key_of(error.field).into(), fault: WireFault::OutOfRange { expected: error.expected } }
 }
 
@@ -83,7 +84,9 @@
         "max_attempts" => "limits.max_attempts",
         "tick" => "granularity_us",
         "slow_start_initial_fraction" => "rules.cold_from",
+        "slow_start_duration" => "rules.ramp_time_us",
         "overload_multiple" => "rules.fall_multiple",
+        "overload_window" => "rules.tip_after_us",
         same => same,
     }
 }
--- a/tests/discovery/watch.rs
+++ b/tests/discovery/watch.rs
@@ -27,11 +27,15 @@
     let (sender, updates) = mpsc::unbounded_channel();
     let (address_sender, address) = watch::channel(service);
     let resubscribe = Rc::new(Notify::new());
-    let (connect_timeout, stop_sending) = (Duration::from_millis(100), Duration::from_secs(1));
+    let (connect_timeout, drain_notice_limit) = (Duration::from_millis(100), Duration::from_secs(1));
     let watch = Watch {
         address,
         mode: DiscoveryMode::Subscribe(Micros(10_000_000)),
-        settings: Rc::new(Cell::new(WatchSettings { connect_timeout, stop_sending, fleet_position: 0.0 })),
+        settings: Rc::new(Cell::new(WatchSettings {
+            connect_timeout,
+            drain_notice_limit,
+            fleet_position: 0.0,
+        })),
         version: Some(1),
         resubscribe: resubscribe.clone(),
         now: Box::new(Time::default),
