--- a/scale/src/events.rs
+++ b/scale/src/events.rs
@@ -2,7 +2,7 @@
 
 use crate::backends::Fleet;
 use crate::discovery::{Conduct, Discovery};
-use crate::plan::{Happening, Point, What};
+use crate::plan::{EventKind, PlannedEvent, Point};
 use crate::site::Status;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -50,17 +50,17 @@
     Ok(())
 }
 
-async fn happen(event: &Happening, stage: &Stage, all: usize) -> Result<(), String> {
+async fn happen(event: &PlannedEvent, stage: &Stage, all: usize) -> Result<(), String> {
     let lasts = Duration::from_secs_f64(event.for_s);
     let lines = if event.lines == 0 { all } else { event.lines as usize };
     tracing::info!("{:?} for {} s", event.what, event.for_s);
     match event.what {
-        What::Release => release(stage, lines, lasts).await,
-        What::Refuse => trouble(stage, Conduct::Refuse, lasts).await,
-        What::Silence => trouble(stage, Conduct::Silence, lasts).await,
-        What::Down => trouble(stage, Conduct::Down, lasts).await,
-        What::Reload => return (stage.moved)(stage.discovery.move_away().await?),
-        What::Return => return (stage.back)(()),
+        EventKind::Release => release(stage, lines, lasts).await,
+        EventKind::Refuse => trouble(stage, Conduct::Refuse, lasts).await,
+        EventKind::Silence => trouble(stage, Conduct::Silence, lasts).await,
+        EventKind::Down => trouble(stage, Conduct::Down, lasts).await,
+        EventKind::Reload => return (stage.moved)(stage.discovery.move_away().await?),
+        EventKind::Return => return (stage.back)(()),
     }
     Ok(())
 }
--- a/scale/src/hollow_point.rs
+++ b/scale/src/hollow_point.rs
@@ -5,7 +5,7 @@
 use crate::discovery::{Counts, Discovery};
 use crate::events::{self, Stage};
 use crate::hollow::{Proxies, Sums};
-use crate::plan::{Point, What};
+use crate::plan::{EventKind, Point};
 use crate::process::{memory, processor_s};
 use crate::real::{costs, nature};
 use crate::report::{Check, Row};
@@ -105,7 +105,7 @@
         ("added_p99_us", Some(sums.added.value_at_quantile(0.99) as f64)),
         ("added_p999_us", Some(sums.added.value_at_quantile(0.999) as f64)),
     ];
-    if !p.events.iter().any(|e| e.what == What::Return) {
+    if !p.events.iter().any(|e| e.what == EventKind::Return) {
         figures.retain(|f| !f.0.starts_with("return_"));
     }
     figures.extend(discovery_figures(&start, &rest, &change, &load));
--- a/scale/src/lib.rs
+++ b/scale/src/lib.rs
@@ -4,14 +4,16 @@
 #![warn(missing_docs)]
 
 pub mod backends;
-pub mod bounds;
 pub mod clients;
 pub mod discovery;
 pub mod events;
 pub mod hollow;
 pub mod hollow_point;
+pub mod machine_limits;
 pub mod module;
 pub mod plan;
+pub mod plan_file;
+pub mod plan_validation;
 pub mod process;
 pub mod real;
 pub mod report;
--- a/scale/src/main.rs
+++ b/scale/src/main.rs
@@ -4,7 +4,7 @@
 use clap::Parser;
 use scale_test::plan::{Kind, Plan};
 use scale_test::report::{self, Row};
-use scale_test::{bounds, hollow_point, module, plan, real};
+use scale_test::{hollow_point, machine_limits, module, plan_file, real};
 use std::io::Write;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -52,8 +52,9 @@
 
 /// The plan, if it is sound and the machine bears it.
 fn accept(path: &Path) -> Result<Plan, String> {
-    let plan = plan::load(path).map_err(|e| e.to_string())?;
-    bounds::machine(&plan, bounds::Machine::read()?).map_err(|e| e.to_string())?;
+    let plan = plan_file::load(path).map_err(|e| e.to_string())?;
+    let machine = machine_limits::MachineResources::read().map_err(|e| e.to_string())?;
+    machine_limits::check(&plan, machine).map_err(|e| e.to_string())?;
     Ok(plan)
 }
 
@@ -85,10 +86,10 @@
     for (number, point) in plan.points.iter().enumerate() {
         let row = match &program {
             Some(program) => real::play(point, program, &folder).await?,
-            None if plan.kind == Kind::Module => module::play(point)?,
+            None if plan.kind == Kind::Balancer => module::play(point)?,
             None => hollow_point::play(point).await?,
         };
-        let row = Row { size: bounds::over(&plan.over, point).unwrap_or(0.0), ..row };
+        let row = Row { size: point.size(&plan.over).unwrap_or(0.0), ..row };
         if let Some(sink) = &mut sink {
             writeln!(sink, "{}", report::line(plan, number, &row)).map_err(|e| format!("json: {e}"))?;
         }
--- a/scale/src/real.rs
+++ b/scale/src/real.rs
@@ -4,7 +4,7 @@
 use crate::clients::{Clients, Tally};
 use crate::discovery::{Costs, Counts, Discovery};
 use crate::events::{self, Stage};
-use crate::plan::{Mode, Point};
+use crate::plan::{DiscoveryMode, Point};
 use crate::process::Process;
 use crate::report::{Check, Row};
 use crate::site::{settings, Register};
@@ -60,7 +60,7 @@
         call: Duration::from_micros(p.discovery.call_us),
         line: Duration::from_secs_f64(p.discovery.line_us / 1e6),
         queue: p.discovery.queue,
-        agent: p.discovery.mode == Mode::Automatic,
+        agent: p.discovery.mode == DiscoveryMode::Push,
     }
 }
 
--- a/scale/src/site.rs
+++ b/scale/src/site.rs
@@ -1,6 +1,6 @@
 //! The site of a point: the settings as a platform tells them, and the list with its versions.
 
-use crate::plan::{Mode, Point};
+use crate::plan::{DiscoveryMode, Point};
 use bytes::Bytes;
 use serde_json::{json, Value};
 use std::collections::VecDeque;
@@ -53,8 +53,8 @@
     let quota = p.rate_per_s * 1.5 / f64::from(p.tenants.max(1));
     let tenant = |n| json!({"name": tenant_name(n), "quota_rps": quota});
     let mode = match p.discovery.mode {
-        Mode::Automatic => "automatic",
-        Mode::Subscribe => "subscribe",
+        DiscoveryMode::Push => "automatic",
+        DiscoveryMode::Subscribe => "subscribe",
     };
     json!({
         "blend": {"whole": 0.7, "worst_class": 0.3},
--- a/scale/tests/discovery.rs
+++ b/scale/tests/discovery.rs
@@ -1,7 +1,7 @@
 //! The stand-in of discovery speaks the published protocol, and its troubles look as they should.
 
 use scale_test::discovery::{Conduct, Costs, Discovery};
-use scale_test::plan::parse;
+use scale_test::plan_file::parse;
 use scale_test::site::{own_address, Register, Status};
 use serde_json::Value;
 use std::io::{BufRead, BufReader, Read, Write};
--- a/scale/tests/hollow.rs
+++ b/scale/tests/hollow.rs
@@ -1,7 +1,7 @@
 //! Hollow proxies, few of them: what a plan of their kind rests on.
 
 use scale_test::hollow_point;
-use scale_test::plan::parse;
+use scale_test::plan_file::parse;
 use scale_test::report::Row;
 
 fn play(point: &str) -> Row {
--- a/scale/tests/plans.rs
+++ b/scale/tests/plans.rs
@@ -1,7 +1,8 @@
-//! Plans: what is wrong with one is told in one line that names the key.
+//! Plans: an error in one is one line that names the key.
 
-use scale_test::bounds::{machine, Machine};
-use scale_test::plan::{parse, Plan};
+use scale_test::machine_limits::{self, MachineResources};
+use scale_test::plan::Plan;
+use scale_test::plan_file::parse;
 
 const HEAD: &str = "name = \"x\"\nkind = \"real\"\nover = \"backends\"\nlongest_s = 600\n";
 
@@ -21,7 +22,7 @@
 }
 
 /// A machine of a small size.
-const SMALL: Machine = Machine { memory: 2_000_000_000, descriptors: 4_096 };
+const SMALL: MachineResources = MachineResources { memory: 2_000_000_000, descriptors: 4_096 };
 
 #[test]
 fn a_bad_plan_is_told_by_the_path_of_its_key_and_what_was_expected() {
@@ -62,14 +63,15 @@
         "{HEAD}[base]\nclasses = 7\n[[points]]\nbackends = 8\n[[points]]\nbackends = 9\nclasses = 8\n"
     );
     let plan = sound(&text);
-    let sizes: Vec<(u32, u32)> = plan.points.iter().map(|p| (p.backends, p.classes)).collect();
+    let sizes: Vec<(u32, u32)> = plan.points.iter().map(|point| (point.backends, point.classes)).collect();
     assert_eq!(sizes, [(8, 7), (9, 8)]);
 }
 
 #[test]
 fn a_plan_over_the_bounds_of_the_machine_is_refused_before_it_starts() {
-    let refused = |text: &str| machine(&sound(text), SMALL).expect_err("over the bounds").to_string();
-    assert!(machine(&sound(&with_point("")), SMALL).is_ok());
+    let refused =
+        |text: &str| machine_limits::check(&sound(text), SMALL).expect_err("over the bounds").to_string();
+    assert!(machine_limits::check(&sound(&with_point("")), SMALL).is_ok());
     let line = refused(&with_point("proxies = 200\nconnections = 1"));
     assert!(line.starts_with("points[0].proxies: expected fewer than 200 processes"), "{line}");
     let line = refused(&with_point("proxies = 100"));
--- a/scale/tests/sums.rs
+++ b/scale/tests/sums.rs
@@ -51,8 +51,9 @@
     let mut count = 0;
     for file in std::fs::read_dir(folder).expect("plans") {
         let path = file.expect("a file").path();
-        let plan = scale_test::plan::load(&path).unwrap_or_else(|e| panic!("{}: {e}", path.display()));
-        let seconds: f64 = plan.points.iter().map(|p| scale_test::bounds::seconds(plan.kind, p)).sum();
+        let plan = scale_test::plan_file::load(&path).unwrap_or_else(|e| panic!("{}: {e}", path.display()));
+        let seconds: f64 =
+            plan.points.iter().map(|p| scale_test::machine_limits::longest_duration_s(plan.kind, p)).sum();
         assert!(seconds <= plan.longest_s, "{}: {seconds}", path.display());
         count += 1;
     }
