--- a/scale/src/hollow_point.rs
+++ b/scale/src/hollow_point.rs
@@ -6,9 +6,9 @@
 use crate::events::{self, Stage};
 use crate::hollow::{Proxies, Sums};
 use crate::plan::{EventKind, Point};
+use crate::point_result::{Check, Figure, PointResult};
 use crate::process::{memory, processor_s};
 use crate::real::{costs, nature};
-use crate::report::{Check, Row};
 use crate::site::{backend_name, own_address, Register};
 use load_balancer::wire::settings::number;
 use load_balancer::BackendId;
@@ -74,7 +74,7 @@
 }
 
 /// Plays a point.
-pub async fn play(p: &Point) -> Result<Row, String> {
+pub async fn play(p: &Point) -> Result<PointResult, String> {
     let addresses: Vec<_> = (0..p.backends).map(|n| own_address(n, 80)).collect();
     let fleet = Arc::new(Fleet::new(addresses.len(), nature(p), p.seed));
     let ids = (0..addresses.len()).map(|n| (BackendId(number(&backend_name(n))), n)).collect();
@@ -93,25 +93,25 @@
     let (sums, backends) = (proxies.sums(), fleet.counts());
     let ms = |us: u64| Some(us as f64 / 1e3);
     let mut figures = vec![
-        ("memory_per_proxy_mb", held.map(|b| b / f64::from(p.proxies) / 1e6)),
-        ("ready_p50_ms", ms(first.value_at_quantile(0.5))),
-        ("ready_worst_ms", ms(first.max())),
-        ("return_ready_p50_ms", ms(sums.ready.value_at_quantile(0.5))),
-        ("return_ready_worst_ms", ms(sums.ready.max())),
-        ("rest_core_share_of_all", rest.share()),
-        ("changed_line_us", change.each_us(&rest, lines as f64 * f64::from(p.proxies))),
-        ("request_us", load.each_us(&rest, sums.planned as f64)),
-        ("added_p50_us", Some(sums.added.value_at_quantile(0.5) as f64)),
-        ("added_p99_us", Some(sums.added.value_at_quantile(0.99) as f64)),
-        ("added_p999_us", Some(sums.added.value_at_quantile(0.999) as f64)),
+        Figure::new("memory_per_proxy_mb", held.map(|b| b / f64::from(p.proxies) / 1e6)),
+        Figure::new("ready_p50_ms", ms(first.value_at_quantile(0.5))),
+        Figure::new("ready_worst_ms", ms(first.max())),
+        Figure::new("return_ready_p50_ms", ms(sums.ready.value_at_quantile(0.5))),
+        Figure::new("return_ready_worst_ms", ms(sums.ready.max())),
+        Figure::new("rest_core_share_of_all", rest.share()),
+        Figure::new("changed_line_us", change.each_us(&rest, lines as f64 * f64::from(p.proxies))),
+        Figure::new("request_us", load.each_us(&rest, sums.planned as f64)),
+        Figure::new("added_p50_us", Some(sums.added.value_at_quantile(0.5) as f64)),
+        Figure::new("added_p99_us", Some(sums.added.value_at_quantile(0.99) as f64)),
+        Figure::new("added_p999_us", Some(sums.added.value_at_quantile(0.999) as f64)),
     ];
     if !p.events.iter().any(|e| e.what == EventKind::Return) {
-        figures.retain(|f| !f.0.starts_with("return_"));
+        figures.retain(|f| !f.name.starts_with("return_"));
     }
     figures.extend(discovery_figures(&start, &rest, &change, &load));
     figures.extend(counts(&sums, &backends));
     let checks = checks(p, started, &sums, &backends);
-    Ok(Row { label: p.label.clone(), size: f64::from(p.proxies), figures, checks })
+    Ok(PointResult { label: p.label.clone(), size: f64::from(p.proxies), figures, checks })
 }
 
 async fn load(
@@ -139,43 +139,41 @@
     Ok(())
 }
 
-fn discovery_figures(
-    start: &Phase, rest: &Phase, change: &Phase, load: &Phase,
-) -> Vec<(&'static str, Option<f64>)> {
+fn discovery_figures(start: &Phase, rest: &Phase, change: &Phase, load: &Phase) -> Vec<Figure> {
     let some = |n: u64| Some(n as f64);
     vec![
-        ("start_calls", some(start.discovery.calls)),
-        ("start_refused", some(start.discovery.refused)),
-        ("start_longest_queue", some(start.discovery.longest_queue)),
-        ("start_peak_calls_per_s", some(start.discovery.peak_per_s)),
-        ("start_bytes", some(start.discovery.bytes_in + start.discovery.bytes_out)),
-        ("rest_bytes_per_s", rest.control_per_s()),
-        ("change_calls", some(change.discovery.calls)),
-        ("change_refused", some(change.discovery.refused)),
-        ("change_bytes_per_s", change.control_per_s()),
-        ("load_calls", some(load.discovery.calls)),
-        ("load_lists", some(load.discovery.lists)),
-        ("load_refused", some(load.discovery.refused)),
-        ("load_longest_queue", some(load.discovery.longest_queue)),
-        ("load_peak_calls_per_s", some(load.discovery.peak_per_s)),
-        ("load_bytes_per_s", load.control_per_s()),
+        Figure::new("start_calls", some(start.discovery.calls)),
+        Figure::new("start_refused", some(start.discovery.refused)),
+        Figure::new("start_longest_queue", some(start.discovery.longest_queue)),
+        Figure::new("start_peak_calls_per_s", some(start.discovery.peak_per_s)),
+        Figure::new("start_bytes", some(start.discovery.bytes_in + start.discovery.bytes_out)),
+        Figure::new("rest_bytes_per_s", rest.control_per_s()),
+        Figure::new("change_calls", some(change.discovery.calls)),
+        Figure::new("change_refused", some(change.discovery.refused)),
+        Figure::new("change_bytes_per_s", change.control_per_s()),
+        Figure::new("load_calls", some(load.discovery.calls)),
+        Figure::new("load_lists", some(load.discovery.lists)),
+        Figure::new("load_refused", some(load.discovery.refused)),
+        Figure::new("load_longest_queue", some(load.discovery.longest_queue)),
+        Figure::new("load_peak_calls_per_s", some(load.discovery.peak_per_s)),
+        Figure::new("load_bytes_per_s", load.control_per_s()),
     ]
 }
 
-fn counts(sums: &Sums, backends: &backends::Counts) -> Vec<(&'static str, Option<f64>)> {
+fn counts(sums: &Sums, backends: &backends::Counts) -> Vec<Figure> {
     let some = |n: u64| Some(n as f64);
     vec![
-        ("planned", some(sums.planned)),
-        ("served", some(sums.served)),
-        ("refused", some(sums.refused)),
-        ("failed", some(sums.failed)),
-        ("cut_by_return", some(sums.cut)),
-        ("came_while_unready", some(sums.unready)),
-        ("attempts", some(sums.attempts)),
-        ("lost_calls", some(sums.lost_calls)),
-        ("sent_to_draining", some(backends.turned_away)),
-        ("sent_to_draining_late", some(backends.late)),
-        ("cold_sum_of_limit", Some(backends.cold)),
+        Figure::new("planned", some(sums.planned)),
+        Figure::new("served", some(sums.served)),
+        Figure::new("refused", some(sums.refused)),
+        Figure::new("failed", some(sums.failed)),
+        Figure::new("cut_by_return", some(sums.cut)),
+        Figure::new("came_while_unready", some(sums.unready)),
+        Figure::new("attempts", some(sums.attempts)),
+        Figure::new("lost_calls", some(sums.lost_calls)),
+        Figure::new("sent_to_draining", some(backends.turned_away)),
+        Figure::new("sent_to_draining_late", some(backends.late)),
+        Figure::new("cold_sum_of_limit", Some(backends.cold)),
     ]
 }
 
--- a/scale/src/main.rs
+++ b/scale/src/main.rs
@@ -3,8 +3,8 @@
 
 use clap::Parser;
 use scale_test::plan::{Kind, Plan};
-use scale_test::report::{self, Row};
-use scale_test::{hollow_point, machine_limits, module, plan_file, real};
+use scale_test::point_result::PointResult;
+use scale_test::{hollow_point, machine_limits, module, plan_file, real, report};
 use std::io::Write;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -78,7 +78,7 @@
 }
 
 /// Plays the points one after the other; each is told as JSON as soon as it is done.
-async fn points(plan: &Plan, json: Option<&Path>) -> Result<Vec<Row>, String> {
+async fn points(plan: &Plan, json: Option<&Path>) -> Result<Vec<PointResult>, String> {
     let mut sink = json.map(sink).transpose()?;
     let program = (plan.kind == Kind::Real).then(|| real::program(plan.program.as_deref())).transpose()?;
     let folder = real::Folder::make()?;
@@ -89,9 +89,9 @@
             None if plan.kind == Kind::Balancer => module::play(point)?,
             None => hollow_point::play(point).await?,
         };
-        let row = Row { size: point.size(&plan.over).unwrap_or(0.0), ..row };
+        let row = PointResult { size: point.size(&plan.over).unwrap_or(0.0), ..row };
         if let Some(sink) = &mut sink {
-            writeln!(sink, "{}", report::line(plan, number, &row)).map_err(|e| format!("json: {e}"))?;
+            writeln!(sink, "{}", report::json_line(plan, number, &row)).map_err(|e| format!("json: {e}"))?;
         }
         rows.push(row);
     }
@@ -107,9 +107,9 @@
     Ok(Box::new(file))
 }
 
-fn finish(plan: &Plan, json: Option<&Path>, rows: &[Row]) -> Result<bool, String> {
+fn finish(plan: &Plan, json: Option<&Path>, rows: &[PointResult]) -> Result<bool, String> {
     if json != Some(Path::new("-")) {
         print!("{}", report::table(plan, rows));
     }
-    Ok(rows.iter().all(Row::passed))
+    Ok(rows.iter().all(PointResult::passed))
 }
--- a/scale/src/module.rs
+++ b/scale/src/module.rs
@@ -2,7 +2,7 @@
 
 use crate::clients::{gap, unit};
 use crate::plan::Point;
-use crate::report::Row;
+use crate::point_result::{Figure, PointResult};
 use crate::site::{own_address, settings, Register};
 use load_balancer::discovery::list;
 use load_balancer::wire::settings::{read, Key};
@@ -28,7 +28,7 @@
 }
 
 /// Plays a point: the median over the seeds, with the least and the most.
-pub fn play(p: &Point) -> Result<Row, String> {
+pub fn play(p: &Point) -> Result<PointResult, String> {
     let times =
         (0..u64::from(p.seeds)).map(|n| one(p, p.seed + n)).collect::<Result<Vec<Times>, String>>()?;
     let spread = |of: fn(&Times) -> f64| {
@@ -38,17 +38,17 @@
     };
     let (start, request, line) = (spread(|t| t.start), spread(|t| t.request), spread(|t| t.line));
     let figures = vec![
-        ("whole_list_us", start.1),
-        ("whole_list_least_us", start.0),
-        ("whole_list_most_us", start.2),
-        ("request_us", request.1),
-        ("request_least_us", request.0),
-        ("request_most_us", request.2),
-        ("changed_line_us", line.1),
-        ("changed_line_least_us", line.0),
-        ("changed_line_most_us", line.2),
+        Figure::new("whole_list_us", start.1),
+        Figure::new("whole_list_least_us", start.0),
+        Figure::new("whole_list_most_us", start.2),
+        Figure::new("request_us", request.1),
+        Figure::new("request_least_us", request.0),
+        Figure::new("request_most_us", request.2),
+        Figure::new("changed_line_us", line.1),
+        Figure::new("changed_line_least_us", line.0),
+        Figure::new("changed_line_most_us", line.2),
     ];
-    Ok(Row { label: p.label.clone(), size: 0.0, figures, checks: Vec::new() })
+    Ok(PointResult { label: p.label.clone(), size: 0.0, figures, checks: Vec::new() })
 }
 
 fn one(p: &Point, seed: u64) -> Result<Times, String> {
--- a/scale/src/real.rs
+++ b/scale/src/real.rs
@@ -5,8 +5,8 @@
 use crate::discovery::{Costs, Counts, Discovery};
 use crate::events::{self, Stage};
 use crate::plan::{DiscoveryMode, Point};
+use crate::point_result::{Check, Figure, PointResult};
 use crate::process::Process;
-use crate::report::{Check, Row};
 use crate::site::{settings, Register};
 use serde_json::{json, Value};
 use std::cell::RefCell;
@@ -86,7 +86,7 @@
 }
 
 /// Plays a point.
-pub async fn play(p: &Point, program: &Path, folder: &Folder) -> Result<Row, String> {
+pub async fn play(p: &Point, program: &Path, folder: &Folder) -> Result<PointResult, String> {
     let (listeners, addresses) = backends::listen(p.backends)?;
     let fleet = Arc::new(Fleet::new(listeners.len(), nature(p), p.seed));
     let (_end_of_backends, ending) = tokio::sync::watch::channel(());
@@ -249,7 +249,7 @@
 fn row(
     p: &Point, m: &Measured, tally: &Tally, backends: &backends::Counts, discovery: &Counts,
     codes: &[Option<i32>],
-) -> Row {
+) -> PointResult {
     let proxies = f64::from(p.proxies);
     let slowest = m.ready.iter().copied().collect::<Option<Vec<_>>>().and_then(|all| all.into_iter().max());
     let per_s =
@@ -258,39 +258,39 @@
     let mb = |bytes: Option<f64>| bytes.map(|b| b / 1e6);
     let count = |n: u64| Some(n as f64);
     let figures = vec![
-        ("memory_mb", mb(m.memory)),
-        ("memory_after_load_mb", mb(m.memory_after)),
-        ("ready_ms", slowest.map(|t| t.as_secs_f64() * 1e3)),
-        ("rest_core_share", m.rest_share(proxies)),
-        ("changed_line_us", m.each_us(m.change, m.lines as f64 * proxies, proxies)),
-        ("request_us", m.each_us(m.load, tally.answered() as f64, proxies)),
-        ("added_p50_us", added(0.5)),
-        ("added_p99_us", added(0.99)),
-        ("added_p999_us", added(0.999)),
-        ("added_worst_us", added(1.0)),
-        ("pause_ms", Some(tally.pause.as_secs_f64() * 1e3)),
-        ("control_rest_bytes_per_s", per_s(m.rest)),
-        ("control_change_bytes_per_s", per_s(m.change)),
-        ("control_load_bytes_per_s", per_s(m.load)),
-        ("discovery_calls", count(discovery.calls)),
-        ("discovery_lists", count(discovery.lists)),
-        ("discovery_refused", count(discovery.refused)),
-        ("discovery_longest_queue", count(discovery.longest_queue)),
-        ("discovery_peak_calls_per_s", count(discovery.peak_per_s)),
-        ("planned", count(tally.planned)),
-        ("served", count(tally.served)),
-        ("refused", count(tally.refused)),
-        ("failed", count(tally.failed)),
-        ("lost", count(tally.lost)),
-        ("unsent", count(tally.unsent)),
-        ("crossed", count(tally.crossed)),
-        ("connections_to_backends", count(backends.connections)),
-        ("sent_to_draining", count(backends.turned_away)),
-        ("sent_to_draining_late", count(backends.late)),
-        ("cold_sum_of_limit", Some(backends.cold)),
+        Figure::new("memory_mb", mb(m.memory)),
+        Figure::new("memory_after_load_mb", mb(m.memory_after)),
+        Figure::new("ready_ms", slowest.map(|t| t.as_secs_f64() * 1e3)),
+        Figure::new("rest_core_share", m.rest_share(proxies)),
+        Figure::new("changed_line_us", m.each_us(m.change, m.lines as f64 * proxies, proxies)),
+        Figure::new("request_us", m.each_us(m.load, tally.answered() as f64, proxies)),
+        Figure::new("added_p50_us", added(0.5)),
+        Figure::new("added_p99_us", added(0.99)),
+        Figure::new("added_p999_us", added(0.999)),
+        Figure::new("added_worst_us", added(1.0)),
+        Figure::new("pause_ms", Some(tally.pause.as_secs_f64() * 1e3)),
+        Figure::new("control_rest_bytes_per_s", per_s(m.rest)),
+        Figure::new("control_change_bytes_per_s", per_s(m.change)),
+        Figure::new("control_load_bytes_per_s", per_s(m.load)),
+        Figure::new("discovery_calls", count(discovery.calls)),
+        Figure::new("discovery_lists", count(discovery.lists)),
+        Figure::new("discovery_refused", count(discovery.refused)),
+        Figure::new("discovery_longest_queue", count(discovery.longest_queue)),
+        Figure::new("discovery_peak_calls_per_s", count(discovery.peak_per_s)),
+        Figure::new("planned", count(tally.planned)),
+        Figure::new("served", count(tally.served)),
+        Figure::new("refused", count(tally.refused)),
+        Figure::new("failed", count(tally.failed)),
+        Figure::new("lost", count(tally.lost)),
+        Figure::new("unsent", count(tally.unsent)),
+        Figure::new("crossed", count(tally.crossed)),
+        Figure::new("connections_to_backends", count(backends.connections)),
+        Figure::new("sent_to_draining", count(backends.turned_away)),
+        Figure::new("sent_to_draining_late", count(backends.late)),
+        Figure::new("cold_sum_of_limit", Some(backends.cold)),
     ];
     let size = f64::from(p.proxies);
-    Row { label: p.label.clone(), size, figures, checks: checks(m, tally, backends, codes) }
+    PointResult { label: p.label.clone(), size, figures, checks: checks(m, tally, backends, codes) }
 }
 
 fn checks(m: &Measured, tally: &Tally, backends: &backends::Counts, codes: &[Option<i32>]) -> Vec<Check> {
--- a/scale/src/report.rs
+++ b/scale/src/report.rs
@@ -1,104 +1,86 @@
-//! What is told: JSON lines for programs, a table for people, and the verdict.
+//! Results: JSON lines for programs, a table for people, and the verdict.
 
+use crate::linear_fit;
 use crate::plan::Plan;
+use crate::point_result::{Check, Figure, PointResult};
 use serde_json::{json, Map, Value};
 use std::fmt::Write;
 
-/// Something that has to hold.
-#[derive(Clone, Debug)]
-pub struct Check {
-    /// What.
-    pub name: &'static str,
-    /// Whether it does.
-    pub holds: bool,
-    /// What was seen.
-    pub seen: String,
+/// A result as one line of JSON.
+pub fn json_line(plan: &Plan, number: usize, result: &PointResult) -> String {
+    let figure = |figure: &Figure| (figure.name.to_string(), json!(figure.value));
+    let check = |check: &Check| json!({"name": check.name, "holds": check.holds, "seen": check.seen});
+    let figures: Map<String, Value> = result.figures.iter().map(figure).collect();
+    let checks: Vec<Value> = result.checks.iter().map(check).collect();
+    let line = json!({
+        "plan": plan.name,
+        "point": number,
+        "over": plan.over,
+        "size": result.size,
+        "label": result.label,
+        "figures": figures,
+        "checks": checks,
+        "passed": result.passed(),
+    });
+    line.to_string()
 }
 
-/// What one point gave.
-#[derive(Clone, Debug)]
-pub struct Row {
-    /// Its name, where it has one.
-    pub label: String,
-    /// Its size along the slope.
-    pub size: f64,
-    /// The figures by their names, units at the end; none where a figure was not measured.
-    pub figures: Vec<(&'static str, Option<f64>)>,
-    /// What has to hold.
-    pub checks: Vec<Check>,
-}
-
-impl Row {
-    /// A figure by its name.
-    pub fn figure(&self, name: &str) -> Option<f64> {
-        self.figures.iter().find(|f| f.0 == name).and_then(|f| f.1)
+/// All results as a table: a column for each point, and what the line through all but the largest predicts
+/// for that.
+pub fn table(plan: &Plan, results: &[PointResult]) -> String {
+    let mut text = format!("{}\n", plan.name);
+    push_row(&mut text, &plan.over, &head_cells(results));
+    if results.iter().any(|result| !result.label.is_empty()) {
+        let labels: Vec<String> = results.iter().map(|result| result.label.clone()).collect();
+        push_row(&mut text, "label", &labels);
     }
-
-    /// Whether every check holds.
-    pub fn passed(&self) -> bool {
-        self.checks.iter().all(|c| c.holds)
+    for figure in results.first().map_or(&[][..], |first| &first.figures) {
+        push_row(&mut text, figure.name, &figure_cells(results, figure.name));
+    }
+    for result in results {
+        push_checks(&mut text, result);
     }
+    text
 }
 
-/// A row as one line of JSON.
-pub fn line(plan: &Plan, number: usize, row: &Row) -> String {
-    let figures: Map<String, Value> =
-        row.figures.iter().map(|(name, v)| ((*name).into(), json!(v))).collect();
-    let check = |c: &Check| json!({"name": c.name, "holds": c.holds, "seen": c.seen});
-    let checks: Vec<Value> = row.checks.iter().map(check).collect();
-    json!({"plan": plan.name, "point": number, "over": plan.over, "size": row.size, "label": row.label,
-           "figures": figures,
-           "checks": checks, "passed": row.passed()})
-    .to_string()
+fn head_cells(results: &[PointResult]) -> Vec<String> {
+    let mut cells: Vec<String> = results.iter().map(|result| number_cell(Some(result.size))).collect();
+    cells.push("predicted".into());
+    cells.push("off by".into());
+    cells
 }
 
-/// All rows as a table: a column for each point, and what the line through all but the largest tells of that.
-pub fn table(plan: &Plan, rows: &[Row]) -> String {
-    let mut text = format!("{}\n{:<26}", plan.name, plan.over);
-    for row in rows {
-        put(&mut text, &cell(Some(row.size)));
-    }
-    ["predicted", "off by"].iter().for_each(|t| put(&mut text, t));
-    text.push('\n');
-    if rows.iter().any(|r| !r.label.is_empty()) {
-        let _ = write!(text, "{:<26}", "label");
-        rows.iter().for_each(|row| put(&mut text, &row.label));
-        text.push('\n');
-    }
-    let names = rows.first().map_or(Vec::new(), |r| r.figures.iter().map(|f| f.0).collect());
-    for name in names {
-        let _ = write!(text, "{name:<26}");
-        rows.iter().for_each(|row| put(&mut text, &cell(row.figure(name))));
-        let told = crate::slopes::predict(rows, name);
-        put(&mut text, &cell(told.map(|t| t.predicted)));
-        put(&mut text, &told.and_then(|t| t.off).map_or("-".into(), |off| format!("{:+.0} %", off * 100.0)));
-        text.push('\n');
-    }
-    for (row, check) in rows.iter().flat_map(|r| r.checks.iter().map(move |c| (r, c))) {
-        let verdict = if check.holds { "holds " } else { "FAILED" };
-        let _ = writeln!(text, "{verdict} at {}{}: {} ({})", row.size, name(row), check.name, check.seen);
-    }
-    text
+fn figure_cells(results: &[PointResult], name: &str) -> Vec<String> {
+    let mut cells: Vec<String> = results.iter().map(|result| number_cell(result.figure(name))).collect();
+    let prediction = linear_fit::predict(results, name);
+    cells.push(number_cell(prediction.map(|prediction| prediction.predicted)));
+    let relative_error = prediction.and_then(|prediction| prediction.relative_error);
+    cells.push(relative_error.map_or("-".into(), |error| format!("{:+.0} %", error * 100.0)));
+    cells
 }
 
-fn name(row: &Row) -> String {
-    if row.label.is_empty() {
-        String::new()
-    } else {
-        format!(" {}", row.label)
+fn push_row(text: &mut String, name: &str, cells: &[String]) {
+    let _ = write!(text, "{name:<26}");
+    for cell in cells {
+        let _ = write!(text, "{cell:>13}");
     }
+    text.push('\n');
 }
 
-fn put(text: &mut String, cell: &str) {
-    let _ = write!(text, "{cell:>13}");
+fn push_checks(text: &mut String, result: &PointResult) {
+    let label = if result.label.is_empty() { String::new() } else { format!(" {}", result.label) };
+    for check in &result.checks {
+        let verdict = if check.holds { "holds " } else { "FAILED" };
+        let _ = writeln!(text, "{verdict} at {}{label}: {} ({})", result.size, check.name, check.seen);
+    }
 }
 
-fn cell(value: Option<f64>) -> String {
+fn number_cell(value: Option<f64>) -> String {
     match value {
         None => "-".into(),
-        Some(v) if v == v.trunc() && v.abs() < 1e12 => format!("{v:.0}"),
-        Some(v) if v.abs() >= 100.0 => format!("{v:.0}"),
-        Some(v) if v.abs() >= 1.0 => format!("{v:.2}"),
-        Some(v) => format!("{v:.5}"),
+        Some(value) if value == value.trunc() && value.abs() < 1e12 => format!("{value:.0}"),
+        Some(value) if value.abs() >= 100.0 => format!("{value:.0}"),
+        Some(value) if value.abs() >= 1.0 => format!("{value:.2}"),
+        Some(value) => format!("{value:.5}"),
     }
 }
--- a/scale/tests/hollow.rs
+++ b/scale/tests/hollow.rs
@@ -2,9 +2,9 @@
 
 use scale_test::hollow_point;
 use scale_test::plan_file::parse;
-use scale_test::report::Row;
+use scale_test::point_result::PointResult;
 
-fn play(point: &str) -> Row {
+fn play(point: &str) -> PointResult {
     let head = "name = \"x\"\nkind = \"hollow\"\nover = \"proxies\"\nlongest_s = 60\n";
     let base = "[[points]]\nbackends = 40\nproxies = 12\nrate_per_s = 300\nrest_s = 0.2\nchange_s = 0.5\n";
     let plan = parse(&format!("{head}{base}{point}\n")).expect("sound");
@@ -13,7 +13,7 @@
     played.expect("played")
 }
 
-fn holds(row: &Row) {
+fn holds(row: &PointResult) {
     for check in &row.checks {
         assert!(check.holds, "{}: {}", check.name, check.seen);
     }
--- /dev/null
+++ b/scale/tests/linear_fit.rs
@@ -0,0 +1,19 @@
+//! The line through the smaller points of a plan, and how far the largest is from it.
+
+use scale_test::linear_fit::{fit, predict, Sample};
+use scale_test::point_result::{Figure, PointResult};
+
+fn result(size: f64, value: f64) -> PointResult {
+    let figures = vec![Figure::new("x", Some(value)), Figure::new("gap", None)];
+    PointResult { label: String::new(), size, figures, checks: Vec::new() }
+}
+
+#[test]
+fn the_line_goes_through_all_but_the_largest_point() {
+    let results = [result(10.0, 300.0), result(1.0, 12.0), result(2.0, 14.0)];
+    let prediction = predict(&results, "x").expect("a line");
+    assert!((prediction.predicted - 30.0).abs() < 1e-9, "{prediction:?}");
+    assert!((prediction.relative_error.expect("a part") - 9.0).abs() < 1e-9, "{prediction:?}");
+    assert_eq!(predict(&results, "gap"), None);
+    assert_eq!(fit(&[Sample { size: 1.0, value: 2.0 }]), None);
+}
--- a/scale/tests/sums.rs
+++ b/scale/tests/sums.rs
@@ -1,24 +1,8 @@
 //! Sums that verdicts and tables rest on.
 
 use scale_test::backends::{cold_limit, Fleet, Nature, Reception};
-use scale_test::report::Row;
-use scale_test::slopes::{fit, predict};
 use std::time::{Duration, Instant};
 
-fn row(size: f64, value: f64) -> Row {
-    Row { label: String::new(), size, figures: vec![("x", Some(value)), ("gap", None)], checks: Vec::new() }
-}
-
-#[test]
-fn the_line_goes_through_all_but_the_largest_point() {
-    let rows = [row(10.0, 300.0), row(1.0, 12.0), row(2.0, 14.0)];
-    let told = predict(&rows, "x").expect("a line");
-    assert!((told.predicted - 30.0).abs() < 1e-9, "{told:?}");
-    assert!((told.off.expect("a part") - 9.0).abs() < 1e-9, "{told:?}");
-    assert_eq!(predict(&rows, "gap"), None);
-    assert_eq!(fit(&[(1.0, 2.0)]), None);
-}
-
 #[test]
 fn the_limit_of_a_cold_backend_grows_with_its_age_to_that_of_a_warm_one() {
     // 2.5 times 0.3 of 50 a second over 2 s is 75.
