--- a/scale/src/backends.rs
+++ b/scale/src/backends.rs
@@ -1,6 +1,8 @@
 //! Hollow backends: they work on nothing, take their time for it and count what reaches them.
 
-use crate::site::{COLD_FROM, FALL_MULTIPLE, FALL_WINDOW_US, RAMP_US, STOP_SENDING_US};
+use crate::site_settings::{
+    OVERLOAD_MULTIPLE, OVERLOAD_WINDOW_US, SLOW_START_INITIAL_FRACTION, SLOW_START_US, STOP_SENDING_US,
+};
 use crate::wire;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
@@ -135,11 +137,11 @@
     fn cold_sum(&mut self, now: Instant, capacity_per_s: f64) -> f64 {
         let Some(started) = self.started else { return 0.0 };
         let age = now.saturating_duration_since(started);
-        if age >= Duration::from_micros(RAMP_US) {
+        if age >= Duration::from_micros(SLOW_START_US) {
             (self.started, self.recent) = (None, VecDeque::new());
             return 0.0;
         }
-        let window = Duration::from_micros(FALL_WINDOW_US);
+        let window = Duration::from_micros(OVERLOAD_WINDOW_US);
         while self.recent.front().is_some_and(|t| now.saturating_duration_since(*t) >= window) {
             self.recent.pop_front();
         }
@@ -150,8 +152,9 @@
 
 /// The most that may reach a cold backend in a window around an age: what it can bear, and chance.
 pub fn cold_limit(age: Duration, capacity_per_s: f64) -> f64 {
-    let warmth = COLD_FROM + (1.0 - COLD_FROM) * (age.as_secs_f64() * 1e6 / RAMP_US as f64).min(1.0);
-    let bears = FALL_MULTIPLE * warmth * capacity_per_s * FALL_WINDOW_US as f64 / 1e6;
+    let warmth = SLOW_START_INITIAL_FRACTION
+        + (1.0 - SLOW_START_INITIAL_FRACTION) * (age.as_secs_f64() * 1e6 / SLOW_START_US as f64).min(1.0);
+    let bears = OVERLOAD_MULTIPLE * warmth * capacity_per_s * OVERLOAD_WINDOW_US as f64 / 1e6;
     bears + 2.0 * bears.sqrt() + 2.0
 }
 
@@ -159,7 +162,7 @@
 pub fn listen(count: u32) -> Result<(Vec<TcpListener>, Vec<SocketAddr>), String> {
     let (mut listeners, mut addresses) = (Vec::new(), Vec::new());
     for number in 0..count {
-        let address = crate::site::own_address(number, 0);
+        let address = crate::naming::backend_address(number, 0);
         let told = |e: std::io::Error| format!("backend {number}: listen on {address}: {e}");
         let listener = TcpListener::bind(address).map_err(told)?;
         listener.set_nonblocking(true).map_err(told)?;
--- a/scale/src/clients.rs
+++ b/scale/src/clients.rs
@@ -1,8 +1,8 @@
 //! Open-loop clients: requests go out when they are planned, whatever became of those before, and their time counts
 //! from the plan.
 
+use crate::naming::{class_name, is_idempotent, tenant_name};
 use crate::plan::Point;
-use crate::site::{class_name, is_free, tenant_name};
 use crate::wire;
 use bytes::Bytes;
 use hdrhistogram::Histogram;
@@ -293,7 +293,7 @@
 
 fn request(due: &Due, deadline: Duration) -> Option<Request<Full<Bytes>>> {
     let class = class_name(due.class);
-    let (method, body) = if is_free(due.class) { ("GET", "") } else { ("POST", "body") };
+    let (method, body) = if is_idempotent(due.class) { ("GET", "") } else { ("POST", "body") };
     let left = deadline.saturating_sub(due.planned.elapsed()).as_millis();
     let mut request = Request::builder()
         .method(method)
--- a/scale/src/discovery.rs
+++ b/scale/src/discovery.rs
@@ -1,6 +1,6 @@
 //! A stand-in of discovery by its published protocol: list and watch, one call after another, and its troubles.
 
-use crate::site::{Answer, Register};
+use crate::endpoint_list::{EndpointList, ListResponse};
 use crate::wire::{Bytes as Traffic, Counted};
 use bytes::Bytes;
 use http_body_util::Full;
@@ -93,7 +93,7 @@
 /// The handle on it; dropping it ends its thread.
 pub struct Discovery {
     address: Mutex<SocketAddr>,
-    register: Arc<Mutex<Register>>,
+    register: Arc<Mutex<EndpointList>>,
     version: watch::Sender<u64>,
     orders: mpsc::Sender<Order>,
     tally: Arc<Tally>,
@@ -101,7 +101,7 @@
 
 impl Discovery {
     /// Starts it on a port of 127.0.0.1 that the system chooses.
-    pub fn start(register: Register, costs: Costs) -> Result<Discovery, String> {
+    pub fn start(register: EndpointList, costs: Costs) -> Result<Discovery, String> {
         let (version, versions) = watch::channel(register.version());
         let (register, tally) = (Arc::new(Mutex::new(register)), Arc::<Tally>::default());
         let (orders, taken) = mpsc::channel(ORDERS);
@@ -124,7 +124,7 @@
     }
 
     /// Changes the list; watches hear of it at once.
-    pub fn change(&self, change: impl FnOnce(&mut Register)) {
+    pub fn change(&self, change: impl FnOnce(&mut EndpointList)) {
         let version = {
             let mut register = lock(&self.register);
             change(&mut register);
@@ -134,8 +134,8 @@
     }
 
     /// The whole list as text.
-    pub fn whole(&self) -> Answer {
-        lock(&self.register).answer(None)
+    pub fn whole(&self) -> ListResponse {
+        lock(&self.register).response(None)
     }
 
     /// What it does with calls from now on.
@@ -184,7 +184,7 @@
 
 /// What its thread holds.
 struct Served {
-    register: Arc<Mutex<Register>>,
+    register: Arc<Mutex<EndpointList>>,
     versions: watch::Receiver<u64>,
     costs: Costs,
     tally: Arc<Tally>,
@@ -200,7 +200,7 @@
 
 impl Served {
     fn new(
-        register: Arc<Mutex<Register>>, versions: watch::Receiver<u64>, costs: Costs, tally: Arc<Tally>,
+        register: Arc<Mutex<EndpointList>>, versions: watch::Receiver<u64>, costs: Costs, tally: Arc<Tally>,
     ) -> Served {
         Served {
             register,
@@ -307,23 +307,23 @@
     }
 
     /// The list or its changes, each after its turn; a status other than 200 where it gives neither.
-    async fn answer(&self, asked: Option<Asked>) -> Result<Answer, StatusCode> {
+    async fn answer(&self, asked: Option<Asked>) -> Result<ListResponse, StatusCode> {
         let asked = asked.ok_or(StatusCode::NOT_FOUND)?;
         self.willing().await?;
         let costs = self.costs;
         match asked {
             Asked::List => {
-                let lines = lock(&self.register).lines(None);
+                let lines = lock(&self.register).entry_count(None);
                 self.turn(costs.call + costs.line * lines as u32, true).await?;
                 self.tally.lists.fetch_add(1, Ordering::Relaxed);
-                Ok(lock(&self.register).answer(None))
+                Ok(lock(&self.register).response(None))
             }
             Asked::Watch(after, wait) => {
                 self.turn(costs.call, true).await?;
                 self.news(after, wait).await?;
-                let lines = lock(&self.register).lines(Some(after));
+                let lines = lock(&self.register).entry_count(Some(after));
                 self.turn(costs.line * lines as u32, false).await?;
-                Ok(lock(&self.register).answer(Some(after)))
+                Ok(lock(&self.register).response(Some(after)))
             }
         }
     }
--- /dev/null
+++ b/scale/src/endpoint_list.rs
@@ -0,0 +1,179 @@
+//! The endpoint list of a site with its versions, and the responses of discovery that carry it.
+
+use crate::naming::{backend_name, kind_name, zone_name};
+use crate::plan::Point;
+use bytes::Bytes;
+use serde_json::{json, Value};
+use std::collections::VecDeque;
+use std::net::SocketAddr;
+
+/// Responses kept for callers that hold the same version.
+const CACHED_RESPONSES: usize = 32;
+/// Backends of one cell; cells share which idempotency keys they have seen.
+const BACKENDS_PER_CELL: usize = 8;
+/// The weights between which [`EndpointList::toggle_weight`] changes.
+const WEIGHTS: [f64; 2] = [1.0, 1.5];
+
+/// What an entry says that its backend may be sent.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum EndpointStatus {
+    /// Requests.
+    Ready,
+    /// Nothing new.
+    Draining,
+    /// It has left.
+    Removed,
+}
+
+#[derive(Clone)]
+struct Endpoint {
+    address: SocketAddr,
+    status: EndpointStatus,
+    /// Unix milliseconds; 0 means long ago.
+    started_at_ms: u64,
+    weight: f64,
+}
+
+/// The list in all its versions.
+pub struct EndpointList {
+    version: u64,
+    endpoints: Vec<Endpoint>,
+    zones: usize,
+    kinds: usize,
+    /// Which entry each version changed, the latest last.
+    changes: VecDeque<usize>,
+    responses: VecDeque<CachedResponse>,
+}
+
+struct CachedResponse {
+    /// It holds the changes after this version; `None` for a snapshot.
+    after: Option<u64>,
+    response: ListResponse,
+}
+
+/// A response of discovery.
+#[derive(Clone, Debug)]
+pub struct ListResponse {
+    /// The body, as JSON.
+    pub body: Bytes,
+    /// Entries in it.
+    pub entries: usize,
+}
+
+impl EndpointList {
+    /// The list of a point with these addresses, all of them ready for long.
+    pub fn new(point: &Point, addresses: &[SocketAddr]) -> EndpointList {
+        let endpoint = |address: &SocketAddr| Endpoint {
+            address: *address,
+            status: EndpointStatus::Ready,
+            started_at_ms: 0,
+            weight: WEIGHTS[0],
+        };
+        EndpointList {
+            version: 1,
+            endpoints: addresses.iter().map(endpoint).collect(),
+            zones: point.zones as usize,
+            kinds: point.kinds as usize,
+            changes: VecDeque::new(),
+            responses: VecDeque::new(),
+        }
+    }
+
+    /// The version in force.
+    pub fn version(&self) -> u64 {
+        self.version
+    }
+
+    /// Changes the status of a backend; `started_at_ms` is in Unix milliseconds, 0 for long ago.
+    pub fn set_status(&mut self, backend: usize, status: EndpointStatus, started_at_ms: u64) {
+        let Some(endpoint) = self.endpoints.get_mut(backend) else { return };
+        endpoint.status = status;
+        endpoint.started_at_ms = started_at_ms;
+        self.record_change(backend);
+    }
+
+    /// Changes the weight of a backend: where weights are rough no decision depends on it.
+    pub fn toggle_weight(&mut self, backend: usize) {
+        let Some(endpoint) = self.endpoints.get_mut(backend) else { return };
+        endpoint.weight = if endpoint.weight > WEIGHTS[0] { WEIGHTS[0] } else { WEIGHTS[1] };
+        self.record_change(backend);
+    }
+
+    fn record_change(&mut self, backend: usize) {
+        self.version += 1;
+        self.changes.push_back(backend);
+        if self.changes.len() > self.endpoints.len() {
+            self.changes.pop_front();
+        }
+        self.responses.clear();
+    }
+
+    /// How many entries such a response has at most, without writing it.
+    pub fn entry_count(&self, after: Option<u64>) -> usize {
+        after.and_then(|version| self.changes_since(version)).unwrap_or(self.endpoints.len())
+    }
+
+    /// The response to a caller that holds this version, or none: a delta where the changes since are known,
+    /// else a snapshot.
+    pub fn response(&mut self, after: Option<u64>) -> ListResponse {
+        let after = after.filter(|version| self.changes_since(*version).is_some());
+        if let Some(cached) = self.responses.iter().find(|cached| cached.after == after) {
+            return cached.response.clone();
+        }
+        let response = self.write_response(after);
+        self.responses.push_back(CachedResponse { after, response: response.clone() });
+        if self.responses.len() > CACHED_RESPONSES {
+            self.responses.pop_front();
+        }
+        response
+    }
+
+    /// How many changes followed a version; none where they are not known any more.
+    fn changes_since(&self, version: u64) -> Option<usize> {
+        let count = usize::try_from(self.version.checked_sub(version)?).ok()?;
+        Some(count).filter(|count| *count <= self.changes.len())
+    }
+
+    fn write_response(&self, after: Option<u64>) -> ListResponse {
+        let entries: Vec<Value> = match after.and_then(|version| self.changes_since(version)) {
+            None => self.present_backends().map(|backend| self.entry(backend)).collect(),
+            Some(count) => self.last_changed(count).into_iter().map(|backend| self.entry(backend)).collect(),
+        };
+        let count = entries.len();
+        let body = json!({"index": self.version, "snapshot": after.is_none(), "endpoints": entries});
+        ListResponse { body: Bytes::from(body.to_string()), entries: count }
+    }
+
+    fn present_backends(&self) -> impl Iterator<Item = usize> + '_ {
+        let present = |backend: &usize| self.endpoints[*backend].status != EndpointStatus::Removed;
+        (0..self.endpoints.len()).filter(present)
+    }
+
+    /// The backends of the last changes, each once.
+    fn last_changed(&self, count: usize) -> Vec<usize> {
+        let skipped = self.changes.len() - count;
+        let mut changed: Vec<usize> = self.changes.iter().skip(skipped).copied().collect();
+        changed.sort_unstable();
+        changed.dedup();
+        changed
+    }
+
+    fn entry(&self, backend: usize) -> Value {
+        let endpoint = &self.endpoints[backend];
+        let status = match endpoint.status {
+            EndpointStatus::Ready => "ready",
+            EndpointStatus::Draining => "draining",
+            EndpointStatus::Removed => "gone",
+        };
+        json!({
+            "name": backend_name(backend),
+            "address": endpoint.address.to_string(),
+            "zone": zone_name((backend % self.zones) as u32),
+            "type": kind_name(backend / self.zones % self.kinds),
+            "group": backend / BACKENDS_PER_CELL,
+            "status": status,
+            "weight": endpoint.weight,
+            "since_ms": endpoint.started_at_ms,
+        })
+    }
+}
--- a/scale/src/events.rs
+++ b/scale/src/events.rs
@@ -2,8 +2,8 @@
 
 use crate::backends::Fleet;
 use crate::discovery::{Conduct, Discovery};
+use crate::endpoint_list::EndpointStatus;
 use crate::plan::{EventKind, PlannedEvent, Point};
-use crate::site::Status;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::sync::Arc;
@@ -91,9 +91,9 @@
         (drained..now_drained).for_each(|i| stage.fleet.drain(i));
         (back..now_back).for_each(|i| stage.fleet.start(i));
         stage.discovery.change(|register| {
-            (drained..now_drained).for_each(|i| register.set(i, Status::Draining, 0));
-            (gone..now_gone).for_each(|i| register.set(i, Status::Gone, 0));
-            (back..now_back).for_each(|i| register.set(i, Status::Ready, started));
+            (drained..now_drained).for_each(|i| register.set_status(i, EndpointStatus::Draining, 0));
+            (gone..now_gone).for_each(|i| register.set_status(i, EndpointStatus::Removed, 0));
+            (back..now_back).for_each(|i| register.set_status(i, EndpointStatus::Ready, started));
         });
         (drained, gone, back) = (now_drained, now_gone, now_back);
     }
@@ -113,7 +113,8 @@
         let due = (start.elapsed().min(lasts).as_secs_f64() * p.changes_per_s) as u64;
         if due > done {
             let lines = u64::from(p.backends);
-            discovery.change(|register| (done..due).for_each(|i| register.touch((i % lines) as usize)));
+            discovery
+                .change(|register| (done..due).for_each(|i| register.toggle_weight((i % lines) as usize)));
             done = due;
         }
     }
--- a/scale/src/hollow.rs
+++ b/scale/src/hollow.rs
@@ -4,12 +4,12 @@
 use crate::backends::{Fleet, Reception};
 use crate::clients::{gap, unit};
 use crate::plan::Point;
-use crate::site::{settings, STOP_SENDING_US};
+use crate::platform::read_config;
+use crate::site_settings::{proxy_settings, STOP_SENDING_US};
 use crate::wire;
 use hdrhistogram::Histogram;
 use load_balancer::discovery::start_times::StartTimes;
 use load_balancer::discovery::{Target, Terms, Watch};
-use load_balancer::wire::settings::{read, Key};
 use load_balancer::*;
 use rand_core::SeedableRng;
 use rand_pcg::Pcg32;
@@ -285,7 +285,7 @@
 
 impl Proxy {
     fn new(position: u32, shared: Shared) -> Result<Proxy, String> {
-        let (config, _) = read(&Key::root(&settings(&shared.point, position)))?;
+        let config = read_config(&proxy_settings(&shared.point, position)).map_err(|e| e.to_string())?;
         let seed = shared.point.seed.wrapping_mul(1_000_003).wrapping_add(u64::from(position));
         let clock = Clock::new();
         let (follow, news, watching) = watch_list(&config, &shared, clock);
--- a/scale/src/hollow_point.rs
+++ b/scale/src/hollow_point.rs
@@ -3,15 +3,15 @@
 
 use crate::backends::{self, Fleet};
 use crate::discovery::{Counts, Discovery};
+use crate::endpoint_list::EndpointList;
 use crate::events::{self, Stage};
 use crate::hollow::{Proxies, Sums};
+use crate::naming::{backend_address, backend_name};
 use crate::plan::{EventKind, Point};
+use crate::platform::backend_id;
 use crate::point_result::{Check, Figure, PointResult};
 use crate::process::{memory, processor_s};
 use crate::real::{costs, nature};
-use crate::site::{backend_name, own_address, Register};
-use load_balancer::wire::settings::number;
-use load_balancer::BackendId;
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -75,10 +75,10 @@
 
 /// Plays a point.
 pub async fn play(p: &Point) -> Result<PointResult, String> {
-    let addresses: Vec<_> = (0..p.backends).map(|n| own_address(n, 80)).collect();
+    let addresses: Vec<_> = (0..p.backends).map(|n| backend_address(n, 80)).collect();
     let fleet = Arc::new(Fleet::new(addresses.len(), nature(p), p.seed));
-    let ids = (0..addresses.len()).map(|n| (BackendId(number(&backend_name(n))), n)).collect();
-    let discovery = Rc::new(Discovery::start(Register::new(p, &addresses), costs(p))?);
+    let ids = (0..addresses.len()).map(|n| (backend_id(&backend_name(n)), n)).collect();
+    let discovery = Rc::new(Discovery::start(EndpointList::new(p, &addresses), costs(p))?);
     discovery.whole();
     let empty = memory("self");
     let proxies = Rc::new(Proxies::start(p, &fleet, ids, discovery.address())?);
--- a/scale/src/module.rs
+++ b/scale/src/module.rs
@@ -1,11 +1,12 @@
 //! The bare decisions, no sockets at all: time for a request and for a changed line, over several seeds.
 
 use crate::clients::{gap, unit};
+use crate::endpoint_list::EndpointList;
+use crate::naming::backend_address;
 use crate::plan::Point;
+use crate::platform::{read_config, read_endpoint_list};
 use crate::point_result::{Figure, PointResult};
-use crate::site::{own_address, settings, Register};
-use load_balancer::discovery::list;
-use load_balancer::wire::settings::{read, Key};
+use crate::site_settings::proxy_settings;
 use load_balancer::*;
 use rand_core::SeedableRng;
 use rand_pcg::Pcg32;
@@ -52,11 +53,12 @@
 }
 
 fn one(p: &Point, seed: u64) -> Result<Times, String> {
-    let (config, _) = read(&Key::root(&settings(p, 0)))?;
-    let addresses: Vec<_> = (0..p.backends).map(|n| own_address(n, 80)).collect();
-    let whole: serde_json::Value = serde_json::from_slice(&Register::new(p, &addresses).answer(None).body)
-        .map_err(|e| format!("the list: {e}"))?;
-    let backends: Vec<Backend> = list(&Key::root(&whole))?.targets.into_iter().map(|t| t.backend).collect();
+    let config = read_config(&proxy_settings(p, 0)).map_err(|e| e.to_string())?;
+    let addresses: Vec<_> = (0..p.backends).map(|n| backend_address(n, 80)).collect();
+    let whole: serde_json::Value =
+        serde_json::from_slice(&EndpointList::new(p, &addresses).response(None).body)
+            .map_err(|e| format!("the list: {e}"))?;
+    let backends = read_endpoint_list(&whole).map_err(|e| e.to_string())?;
     let mut bench = Bench::new(p, config, seed)?;
     let event =
         Event::EndpointListChanged { update: EndpointListUpdate::Snapshot, backends: backends.clone() };
--- a/scale/src/real.rs
+++ b/scale/src/real.rs
@@ -3,11 +3,12 @@
 use crate::backends::{self, Fleet, Nature};
 use crate::clients::{Clients, Tally};
 use crate::discovery::{Costs, Counts, Discovery};
+use crate::endpoint_list::EndpointList;
 use crate::events::{self, Stage};
 use crate::plan::{DiscoveryMode, Point};
 use crate::point_result::{Check, Figure, PointResult};
 use crate::process::Process;
-use crate::site::{settings, Register};
+use crate::site_settings::proxy_settings;
 use serde_json::{json, Value};
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -77,7 +78,7 @@
     let mut config = json!({
         "name": format!("n{position}"), "listen": "127.0.0.1:0", "discovery": discovery.to_string(),
         "seed": format!("{:x}", p.seed.wrapping_mul(1_000_003).wrapping_add(u64::from(position))),
-        "limits": {"sockets": p.sockets}, "settings": settings(p, position),
+        "limits": {"sockets": p.sockets}, "settings": proxy_settings(p, position),
     });
     if let Some(known) = known {
         config["known"] = known.clone();
@@ -91,7 +92,7 @@
     let fleet = Arc::new(Fleet::new(listeners.len(), nature(p), p.seed));
     let (_end_of_backends, ending) = tokio::sync::watch::channel(());
     backends::serve(&fleet, listeners, &ending)?;
-    let discovery = Rc::new(Discovery::start(Register::new(p, &addresses), costs(p))?);
+    let discovery = Rc::new(Discovery::start(EndpointList::new(p, &addresses), costs(p))?);
     let known = p.known.then(|| serde_json::from_slice(&discovery.whole().body).unwrap_or_default());
     let mut proxies = Vec::new();
     for position in 0..p.proxies {
--- a/scale/tests/discovery.rs
+++ b/scale/tests/discovery.rs
@@ -1,8 +1,10 @@
 //! The stand-in of discovery speaks the published protocol, and its troubles look as they should.
 
 use scale_test::discovery::{Conduct, Costs, Discovery};
+use scale_test::endpoint_list::{EndpointList, EndpointStatus};
+use scale_test::naming::backend_address;
 use scale_test::plan_file::parse;
-use scale_test::site::{own_address, Register, Status};
+use scale_test::platform::read_endpoint_list;
 use serde_json::Value;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -16,9 +18,9 @@
 fn start(call: Duration, queue: usize) -> Discovery {
     let head = "name = \"x\"\nkind = \"real\"\nover = \"backends\"\nlongest_s = 60\n";
     let plan = parse(&format!("{head}[[points]]\nbackends = {LINES}\n")).expect("sound");
-    let addresses: Vec<SocketAddr> = (0..LINES).map(|n| own_address(n, 80)).collect();
+    let addresses: Vec<SocketAddr> = (0..LINES).map(|n| backend_address(n, 80)).collect();
     let costs = Costs { call, line: Duration::ZERO, queue, agent: false };
-    Discovery::start(Register::new(&plan.points[0], &addresses), costs).expect("started")
+    Discovery::start(EndpointList::new(&plan.points[0], &addresses), costs).expect("started")
 }
 
 /// Waits for what is asked of it on a runtime of this thread.
@@ -66,12 +68,12 @@
     assert_eq!((whole["snapshot"].as_bool(), whole["index"].as_u64()), (Some(true), Some(1)));
     let endpoints = whole["endpoints"].as_array().expect("lines");
     assert_eq!(endpoints.len(), LINES as usize);
-    let read = load_balancer::discovery::list(&load_balancer::wire::settings::Key::root(&whole));
-    assert_eq!(read.map(|l| l.targets.len()), Ok(LINES as usize), "the proxy's own reader takes it");
+    let read = read_endpoint_list(&whole);
+    assert_eq!(read.map(|backends| backends.len()), Ok(LINES as usize), "the proxy's own reader takes it");
     let began = Instant::now();
     let mut watch = send(discovery.address(), "/api/targets?after=1&wait_ms=9000");
     std::thread::sleep(Duration::from_millis(100));
-    discovery.change(|register| register.set(3, Status::Draining, 0));
+    discovery.change(|list| list.set_status(3, EndpointStatus::Draining, 0));
     let (status, body) = answer(&mut watch).expect("an answer");
     let news: Value = serde_json::from_slice(&body).expect("JSON");
     assert!(began.elapsed() < Duration::from_secs(5), "at the news, not at the end of the wait");
@@ -89,7 +91,11 @@
         (nothing["endpoints"].as_array().map(Vec::len), nothing["index"].as_u64()),
         (Some(0), Some(1))
     );
-    discovery.change(|register| (0..20).for_each(|n| register.touch(n % 5)));
+    discovery.change(|list| {
+        for change in 0..20 {
+            list.toggle_weight(change % 5);
+        }
+    });
     let old = list(discovery.address(), "/api/targets?after=1&wait_ms=50");
     assert_eq!(old["snapshot"].as_bool(), Some(true), "too many changes ago to be told one by one");
 }
