--- a/scale/src/clients.rs
+++ b/scale/src/clients.rs
@@ -1,17 +1,16 @@
 //! Open-loop clients: requests go out when they are planned, whatever became of those before, and their time counts
 //! from the plan.
 
+use crate::local_runtime::spawn_local_runtime;
 use crate::naming::{class_name, is_idempotent, tenant_name};
 use crate::plan::Point;
-use crate::wire;
+use crate::random::Random;
 use bytes::Bytes;
 use hdrhistogram::Histogram;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::client::conn::http1::{self, SendRequest};
 use hyper::{Request, StatusCode};
 use hyper_util::rt::TokioIo;
-use rand_core::{RngCore, SeedableRng};
-use rand_pcg::Pcg32;
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -133,7 +132,7 @@
         let pools: Vec<(SocketAddr, u32)> = proxies.iter().map(|a| (*a, p.connections)).collect();
         let deadline = Duration::from_millis(p.deadline_ms);
         let work = move || send_all(pools, due, deadline, counted);
-        let sending = wire::thread("clients", work)?;
+        let sending = spawn_local_runtime("clients", work).map_err(|e| e.to_string())?;
         let (point, count) = (p.clone(), proxies.len());
         let pacing = std::thread::Builder::new().name("pace".into());
         let pacing = pacing.spawn(move || pace(&point, count, &sender, &paced));
@@ -155,31 +154,20 @@
     tally.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// From 0 up to 1, never quite 1.
-pub fn unit(dice: &mut Pcg32) -> f64 {
-    f64::from(dice.next_u32()) / 4_294_967_296.0
-}
-
-/// Time to the next of so many arrivals a second, by chance.
-pub fn gap(dice: &mut Pcg32, per_s: f64) -> Duration {
-    Duration::from_secs_f64(-(1.0 - unit(dice)).ln() / per_s)
-}
-
 /// Hands each request over when it is due; the runtime's timers are too coarse for that.
 fn pace(p: &Point, proxies: usize, sender: &mpsc::Sender<Due>, tally: &Mutex<Tally>) {
-    let mut dice = Pcg32::seed_from_u64(p.seed);
+    let mut random = Random::new(p.seed);
     let start = Instant::now();
     let mut at = Duration::ZERO;
     for id in 1_u64.. {
-        at += gap(&mut dice, p.rate_per_s);
+        at += random.interarrival_time(p.rate_per_s);
         if at.as_secs_f64() >= p.load_s {
             return;
         }
         let planned = start + at;
         std::thread::sleep(planned.saturating_duration_since(Instant::now()));
-        let mut below = |n: u32| (unit(&mut dice) * f64::from(n)) as u32;
-        let (proxy, class) = (below(proxies as u32) as usize, below(p.classes));
-        let tenant = (p.tenants > 0).then(|| below(p.tenants));
+        let (proxy, class) = (random.below(proxies as u32) as usize, random.below(p.classes));
+        let tenant = (p.tenants > 0).then(|| random.below(p.tenants));
         lock(tally).planned += 1;
         if sender.try_send(Due { proxy, class, tenant, id, planned }).is_err() {
             lock(tally).unsent += 1;
--- a/scale/src/discovery.rs
+++ b/scale/src/discovery.rs
@@ -1,7 +1,7 @@
 //! A stand-in of discovery by its published protocol: list and watch, one call after another, and its troubles.
 
+use crate::counted_stream::{ByteCounters, CountedStream};
 use crate::endpoint_list::{EndpointList, ListResponse};
-use crate::wire::{Bytes as Traffic, Counted};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::body::Incoming;
@@ -82,7 +82,7 @@
     refused: AtomicU64,
     longest_queue: AtomicU64,
     peak_per_s: AtomicU64,
-    traffic: Arc<Traffic>,
+    traffic: Arc<ByteCounters>,
 }
 
 enum Order {
@@ -109,12 +109,13 @@
         listener.set_nonblocking(true).map_err(|e| format!("discovery: {e}"))?;
         let address = listener.local_addr().map_err(|e| format!("discovery: {e}"))?;
         let (held, counted) = (register.clone(), tally.clone());
-        crate::wire::thread("discovery", move || async move {
+        crate::local_runtime::spawn_local_runtime("discovery", move || async move {
             let served = Served::new(held, versions, costs, counted);
             if let Err(e) = Rc::new(served).run(listener, taken).await {
                 tracing::error!("discovery: {e}");
             }
-        })?;
+        })
+        .map_err(|e| e.to_string())?;
         Ok(Discovery { address: Mutex::new(address), register, version, orders, tally })
     }
 
@@ -276,7 +277,7 @@
 
     async fn converse(self: Rc<Self>, stream: TcpStream) {
         let _ = stream.set_nodelay(true);
-        let counted = Counted::new(stream, self.tally.traffic.clone());
+        let counted = CountedStream::new(stream, self.tally.traffic.clone());
         let service = service_fn(|call| self.clone().call(call));
         if let Err(e) = http1::Builder::new().serve_connection(TokioIo::new(counted), service).await {
             tracing::debug!("discovery: a connection ended: {e}");
--- a/scale/src/events.rs
+++ b/scale/src/events.rs
@@ -1,6 +1,6 @@
 //! What happens on a site while requests come: releases, outages and moves of discovery, returns.
 
-use crate::backends::Fleet;
+use crate::backends::BackendFleet;
 use crate::discovery::{Conduct, Discovery};
 use crate::endpoint_list::EndpointStatus;
 use crate::plan::{EventKind, PlannedEvent, Point};
@@ -26,7 +26,7 @@
     /// The service that tells the list.
     pub discovery: Rc<Discovery>,
     /// The backends.
-    pub fleet: Arc<Fleet>,
+    pub fleet: Arc<BackendFleet>,
     /// Tells all proxies that discovery has moved.
     pub moved: Hook<SocketAddr>,
     /// Ends all proxies and starts them again.
--- a/scale/src/hollow.rs
+++ b/scale/src/hollow.rs
@@ -1,18 +1,16 @@
 //! Hollow proxies: the real decisions and the real watch on discovery, hundreds in one process, without sockets to
 //! clients or backends. Arrivals are drawn, and attempts go to the backends' model in memory.
 
-use crate::backends::{Fleet, Reception};
-use crate::clients::{gap, unit};
+use crate::backends::{BackendFleet, Reception};
+use crate::local_runtime::spawn_local_runtime;
 use crate::plan::Point;
 use crate::platform::read_config;
+use crate::random::{proxy_seed, Random};
 use crate::site_settings::{proxy_settings, STOP_SENDING_US};
-use crate::wire;
 use hdrhistogram::Histogram;
 use load_balancer::discovery::start_times::StartTimes;
 use load_balancer::discovery::{Target, Terms, Watch};
 use load_balancer::*;
-use rand_core::SeedableRng;
-use rand_pcg::Pcg32;
 use std::cell::Cell;
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, BinaryHeap, HashMap, HashSet};
@@ -108,7 +106,7 @@
 #[derive(Clone)]
 struct Shared {
     point: Point,
-    fleet: Arc<Fleet>,
+    fleet: Arc<BackendFleet>,
     /// The number of a backend by its id.
     numbers: Arc<HashMap<BackendId, usize>>,
     sums: Arc<Mutex<Sums>>,
@@ -120,7 +118,7 @@
 impl Proxies {
     /// Starts all of them before this discovery.
     pub fn start(
-        p: &Point, fleet: &Arc<Fleet>, numbers: HashMap<BackendId, usize>, discovery: SocketAddr,
+        p: &Point, fleet: &Arc<BackendFleet>, numbers: HashMap<BackendId, usize>, discovery: SocketAddr,
     ) -> Result<Proxies, String> {
         let sums = Arc::new(Mutex::new(Sums::new()?));
         let (phase, phases) = watch::channel(Phase::Rest);
@@ -138,7 +136,8 @@
         let mut threads = Vec::new();
         for thread in 0..THREADS {
             let shared = shared.clone();
-            threads.push(wire::thread("hollow", move || run_share(thread, shared))?);
+            let spawned = spawn_local_runtime("hollow", move || run_share(thread, shared));
+            threads.push(spawned.map_err(|e| e.to_string())?);
         }
         Ok(Proxies { sums, phase, address, returns, threads })
     }
@@ -230,7 +229,7 @@
     config: Config,
     position: u32,
     clock: Clock,
-    dice: Pcg32,
+    random: Random,
     balancer: Balancer,
     started: Instant,
     /// Something in its list is ready.
@@ -286,7 +285,7 @@
 impl Proxy {
     fn new(position: u32, shared: Shared) -> Result<Proxy, String> {
         let config = read_config(&proxy_settings(&shared.point, position)).map_err(|e| e.to_string())?;
-        let seed = shared.point.seed.wrapping_mul(1_000_003).wrapping_add(u64::from(position));
+        let seed = proxy_seed(shared.point.seed, position);
         let clock = Clock::new();
         let (follow, news, watching) = watch_list(&config, &shared, clock);
         Ok(Proxy {
@@ -294,7 +293,7 @@
             config,
             position,
             clock,
-            dice: Pcg32::seed_from_u64(seed),
+            random: Random::new(seed),
             started: Instant::now(),
             ready: false,
             listed: HashSet::new(),
@@ -412,7 +411,7 @@
 
     fn plan_next(&mut self) {
         let per_s = self.shared.point.rate_per_s / f64::from(self.shared.point.proxies);
-        let wait = Micros(gap(&mut self.dice, per_s).as_micros() as u64);
+        let wait = Micros(self.random.interarrival_time(per_s).as_micros() as u64);
         let until = match *self.shared.phase.borrow() {
             Phase::Load(until) => self.clock.at(until),
             Phase::Rest | Phase::End => Time(0),
@@ -430,12 +429,11 @@
             }
             lock(&self.shared.sums).planned += 1;
             self.next += 1;
-            let (request, dice) = (RequestId(self.next), &mut self.dice);
+            let request = RequestId(self.next);
             let deadline = came + Micros(self.shared.point.deadline_ms * 1_000);
-            let mut below = |n: u32| (unit(dice) * f64::from(n)) as usize;
-            let class = ClassId(below(self.shared.point.classes));
+            let class = ClassId(self.random.below(self.shared.point.classes) as usize);
             let tenants = self.shared.point.tenants;
-            let tenant = (tenants > 0).then(|| TenantId(below(tenants)));
+            let tenant = (tenants > 0).then(|| TenantId(self.random.below(tenants) as usize));
             let (time_left, work_hint, repeat) = (deadline - now, None, false);
             self.events.push(Event::RequestArrived(RequestArrival {
                 request,
@@ -561,9 +559,9 @@
         };
         open.out.insert(attempt, now);
         lock(&self.shared.sums).attempts += 1;
-        let (takes, served) = match self.shared.fleet.arrive(*number, Instant::now()) {
-            Reception::Serve(work) => (Micros(work.as_micros() as u64), true),
-            Reception::TurnAway => (TURNED_AWAY, false),
+        let (takes, served) = match self.shared.fleet.request_arrived(*number, Instant::now()) {
+            Reception::Served(work) => (Micros(work.as_micros() as u64), true),
+            Reception::Rejected => (TURNED_AWAY, false),
         };
         self.ends.push(Reverse((now + takes, request, attempt, served, takes)));
     }
--- a/scale/src/hollow_point.rs
+++ b/scale/src/hollow_point.rs
@@ -1,7 +1,7 @@
 //! A point with hollow proxies: start, rest, changes of the list, load with its events. What the machine pays here
 //! it pays for the proxies and for the stand-in of discovery together.
 
-use crate::backends::{self, Fleet};
+use crate::backends::{self, BackendBehavior, BackendFleet};
 use crate::discovery::{Counts, Discovery};
 use crate::endpoint_list::EndpointList;
 use crate::events::{self, Stage};
@@ -11,7 +11,7 @@
 use crate::platform::backend_id;
 use crate::point_result::{Check, Figure, PointResult};
 use crate::process::{memory, processor_s};
-use crate::real::{costs, nature};
+use crate::real::costs;
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -76,7 +76,7 @@
 /// Plays a point.
 pub async fn play(p: &Point) -> Result<PointResult, String> {
     let addresses: Vec<_> = (0..p.backends).map(|n| backend_address(n, 80)).collect();
-    let fleet = Arc::new(Fleet::new(addresses.len(), nature(p), p.seed));
+    let fleet = Arc::new(BackendFleet::new(addresses.len(), BackendBehavior::of(p), p.seed));
     let ids = (0..addresses.len()).map(|n| (backend_id(&backend_name(n)), n)).collect();
     let discovery = Rc::new(Discovery::start(EndpointList::new(p, &addresses), costs(p))?);
     discovery.whole();
@@ -90,7 +90,7 @@
     let (change, lines) = phase(&discovery, events::touch(&discovery, p)).await;
     let (load, played) = phase(&discovery, load(p, &discovery, &fleet, &proxies)).await;
     played?;
-    let (sums, backends) = (proxies.sums(), fleet.counts());
+    let (sums, backends) = (proxies.sums(), fleet.counters());
     let ms = |us: u64| Some(us as f64 / 1e3);
     let mut figures = vec![
         Figure::new("memory_per_proxy_mb", held.map(|b| b / f64::from(p.proxies) / 1e6)),
@@ -115,7 +115,7 @@
 }
 
 async fn load(
-    p: &Point, discovery: &Rc<Discovery>, fleet: &Arc<Fleet>, proxies: &Rc<Proxies>,
+    p: &Point, discovery: &Rc<Discovery>, fleet: &Arc<BackendFleet>, proxies: &Rc<Proxies>,
 ) -> Result<(), String> {
     let lasts = Duration::from_secs_f64(p.load_s);
     let start = Instant::now();
@@ -160,7 +160,7 @@
     ]
 }
 
-fn counts(sums: &Sums, backends: &backends::Counts) -> Vec<Figure> {
+fn counts(sums: &Sums, backends: &backends::BackendCounters) -> Vec<Figure> {
     let some = |n: u64| Some(n as f64);
     vec![
         Figure::new("planned", some(sums.planned)),
@@ -171,13 +171,13 @@
         Figure::new("came_while_unready", some(sums.unready)),
         Figure::new("attempts", some(sums.attempts)),
         Figure::new("lost_calls", some(sums.lost_calls)),
-        Figure::new("sent_to_draining", some(backends.turned_away)),
+        Figure::new("sent_to_draining", some(backends.rejected)),
         Figure::new("sent_to_draining_late", some(backends.late)),
-        Figure::new("cold_sum_of_limit", Some(backends.cold)),
+        Figure::new("cold_sum_of_limit", Some(backends.warming_peak_of_limit)),
     ]
 }
 
-fn checks(p: &Point, started: u64, sums: &Sums, backends: &backends::Counts) -> Vec<Check> {
+fn checks(p: &Point, started: u64, sums: &Sums, backends: &backends::BackendCounters) -> Vec<Check> {
     let all = u64::from(p.proxies);
     let answers = sums.served + sums.refused + sums.failed;
     let owed = sums.planned - sums.cut;
@@ -195,7 +195,7 @@
         Check {
             name: "nothing reaches a draining backend past the limit and the slack",
             holds: backends.late == 0,
-            seen: format!("{} late of {} while draining", backends.late, backends.turned_away),
+            seen: format!("{} late of {} while draining", backends.late, backends.rejected),
         },
     ]
 }
--- a/scale/src/lib.rs
+++ b/scale/src/lib.rs
@@ -5,12 +5,15 @@
 
 pub mod backends;
 pub mod clients;
+pub mod counted_stream;
 pub mod discovery;
 pub mod endpoint_list;
 pub mod events;
 pub mod hollow;
 pub mod hollow_point;
 pub mod linear_fit;
+pub mod local_runtime;
+pub mod locking;
 pub mod machine_limits;
 pub mod module;
 pub mod naming;
@@ -20,7 +23,7 @@
 pub mod platform;
 pub mod point_result;
 pub mod process;
+pub mod random;
 pub mod real;
 pub mod report;
 pub mod site_settings;
-pub mod wire;
--- a/scale/src/module.rs
+++ b/scale/src/module.rs
@@ -1,15 +1,13 @@
 //! The bare decisions, no sockets at all: time for a request and for a changed line, over several seeds.
 
-use crate::clients::{gap, unit};
 use crate::endpoint_list::EndpointList;
 use crate::naming::backend_address;
 use crate::plan::Point;
 use crate::platform::{read_config, read_endpoint_list};
 use crate::point_result::{Figure, PointResult};
+use crate::random::Random;
 use crate::site_settings::proxy_settings;
 use load_balancer::*;
-use rand_core::SeedableRng;
-use rand_pcg::Pcg32;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
 use std::time::Instant;
@@ -96,7 +94,7 @@
     balancer: Balancer,
     tick: Micros,
     now: Time,
-    dice: Pcg32,
+    random: Random,
     rate_per_s: f64,
     deadline: Micros,
     service: Micros,
@@ -116,7 +114,7 @@
             tick: config.tick,
             balancer: Balancer::new(config, seed).map_err(|e| e.to_string())?,
             now: Time(1_000_000_000),
-            dice: Pcg32::seed_from_u64(seed),
+            random: Random::new(seed),
             rate_per_s: p.rate_per_s,
             deadline: Micros(p.deadline_ms * 1_000),
             service: Micros::from_secs(p.service_ms / 1e3),
@@ -156,12 +154,11 @@
 
     /// Lets time go on to the next arrival, ends what ends before it, and hands the request over.
     fn request(&mut self) {
-        let arrival = self.now + Micros(gap(&mut self.dice, self.rate_per_s).as_micros() as u64);
+        let arrival = self.now + Micros(self.random.interarrival_time(self.rate_per_s).as_micros() as u64);
         self.pass(arrival);
         self.next += 1;
-        let mut below = |n: u32| (unit(&mut self.dice) * f64::from(n)) as usize;
-        let class = ClassId(below(self.classes));
-        let tenant = (self.tenants > 0).then(|| TenantId(below(self.tenants)));
+        let class = ClassId(self.random.below(self.classes) as usize);
+        let tenant = (self.tenants > 0).then(|| TenantId(self.random.below(self.tenants) as usize));
         self.open.insert(RequestId(self.next), Open::default());
         self.event(Event::RequestArrived(RequestArrival {
             request: RequestId(self.next),
@@ -192,7 +189,7 @@
     }
 
     fn dispatch(&mut self, request: RequestId) {
-        let end = self.now + self.service.times(0.5 + unit(&mut self.dice));
+        let end = self.now + self.service.times(0.5 + self.random.unit());
         let Some(open) = self.open.get_mut(&request) else { return };
         self.out.push(Reverse((end, request, AttemptNumber(open.count), self.now)));
         open.count += 1;
--- a/scale/src/real.rs
+++ b/scale/src/real.rs
@@ -1,6 +1,6 @@
 //! A point with processes of the real program: rest, changes of the list, load with its events, the end.
 
-use crate::backends::{self, Fleet, Nature};
+use crate::backends::{self, BackendBehavior, BackendFleet};
 use crate::clients::{Clients, Tally};
 use crate::discovery::{Costs, Counts, Discovery};
 use crate::endpoint_list::EndpointList;
@@ -8,6 +8,7 @@
 use crate::plan::{DiscoveryMode, Point};
 use crate::point_result::{Check, Figure, PointResult};
 use crate::process::Process;
+use crate::random::proxy_seed;
 use crate::site_settings::proxy_settings;
 use serde_json::{json, Value};
 use std::cell::RefCell;
@@ -65,19 +66,10 @@
     }
 }
 
-/// The nature of the backends of a point.
-pub fn nature(p: &Point) -> Nature {
-    Nature {
-        service: Duration::from_secs_f64(p.service_ms / 1e3),
-        capacity_per_s: p.capacity_per_s,
-        drain_slack: Duration::from_secs_f64(p.drain_slack_s),
-    }
-}
-
 fn config(p: &Point, position: u32, discovery: SocketAddr, known: Option<&Value>) -> Value {
     let mut config = json!({
         "name": format!("n{position}"), "listen": "127.0.0.1:0", "discovery": discovery.to_string(),
-        "seed": format!("{:x}", p.seed.wrapping_mul(1_000_003).wrapping_add(u64::from(position))),
+        "seed": format!("{:x}", proxy_seed(p.seed, position)),
         "limits": {"sockets": p.sockets}, "settings": proxy_settings(p, position),
     });
     if let Some(known) = known {
@@ -88,10 +80,11 @@
 
 /// Plays a point.
 pub async fn play(p: &Point, program: &Path, folder: &Folder) -> Result<PointResult, String> {
-    let (listeners, addresses) = backends::listen(p.backends)?;
-    let fleet = Arc::new(Fleet::new(listeners.len(), nature(p), p.seed));
+    let listeners = backends::listen(p.backends).map_err(|e| e.to_string())?;
+    let addresses = listeners.addresses.clone();
+    let fleet = Arc::new(BackendFleet::new(addresses.len(), BackendBehavior::of(p), p.seed));
     let (_end_of_backends, ending) = tokio::sync::watch::channel(());
-    backends::serve(&fleet, listeners, &ending)?;
+    backends::serve(&fleet, listeners, &ending).map_err(|e| e.to_string())?;
     let discovery = Rc::new(Discovery::start(EndpointList::new(p, &addresses), costs(p))?);
     let known = p.known.then(|| serde_json::from_slice(&discovery.whole().body).unwrap_or_default());
     let mut proxies = Vec::new();
@@ -111,7 +104,7 @@
     measured.load = phase_of_load;
     measured.memory_after = memory(&proxies);
     let codes = end(p, &proxies).await;
-    Ok(row(p, &measured, &tally?, &fleet.counts(), &discovery.counts(), &codes))
+    Ok(row(p, &measured, &tally?, &fleet.counters(), &discovery.counts(), &codes))
 }
 
 /// What a phase took of all proxies and of discovery.
@@ -183,7 +176,7 @@
 
 /// Requests for the point's time, and what happens meanwhile; ends with the last answer.
 async fn load(
-    p: &Point, discovery: &Rc<Discovery>, fleet: &Arc<Fleet>, proxies: &Rc<RefCell<Vec<Process>>>,
+    p: &Point, discovery: &Rc<Discovery>, fleet: &Arc<BackendFleet>, proxies: &Rc<RefCell<Vec<Process>>>,
 ) -> Result<Tally, String> {
     let addresses: Vec<SocketAddr> = proxies.borrow().iter().map(|r| r.address).collect();
     let clients = Clients::start(p, &addresses)?;
@@ -248,7 +241,7 @@
 }
 
 fn row(
-    p: &Point, m: &Measured, tally: &Tally, backends: &backends::Counts, discovery: &Counts,
+    p: &Point, m: &Measured, tally: &Tally, backends: &backends::BackendCounters, discovery: &Counts,
     codes: &[Option<i32>],
 ) -> PointResult {
     let proxies = f64::from(p.proxies);
@@ -286,15 +279,17 @@
         Figure::new("unsent", count(tally.unsent)),
         Figure::new("crossed", count(tally.crossed)),
         Figure::new("connections_to_backends", count(backends.connections)),
-        Figure::new("sent_to_draining", count(backends.turned_away)),
+        Figure::new("sent_to_draining", count(backends.rejected)),
         Figure::new("sent_to_draining_late", count(backends.late)),
-        Figure::new("cold_sum_of_limit", Some(backends.cold)),
+        Figure::new("cold_sum_of_limit", Some(backends.warming_peak_of_limit)),
     ];
     let size = f64::from(p.proxies);
     PointResult { label: p.label.clone(), size, figures, checks: checks(m, tally, backends, codes) }
 }
 
-fn checks(m: &Measured, tally: &Tally, backends: &backends::Counts, codes: &[Option<i32>]) -> Vec<Check> {
+fn checks(
+    m: &Measured, tally: &Tally, backends: &backends::BackendCounters, codes: &[Option<i32>],
+) -> Vec<Check> {
     let ready = m.ready.iter().flatten().count();
     let clean = codes.iter().filter(|c| **c == Some(0)).count();
     let owed = tally.planned - tally.unsent;
@@ -323,7 +318,7 @@
         Check {
             name: "nothing reaches a draining backend past the limit and the slack",
             holds: backends.late == 0,
-            seen: format!("{} late of {} while draining", backends.late, backends.turned_away),
+            seen: format!("{} late of {} while draining", backends.late, backends.rejected),
         },
         Check {
             name: "SIGTERM ends every proxy with code 0",
--- a/scale/tests/plans.rs
+++ b/scale/tests/plans.rs
@@ -2,7 +2,7 @@
 
 use scale_test::machine_limits::{self, MachineResources};
 use scale_test::plan::Plan;
-use scale_test::plan_file::parse;
+use scale_test::plan_file::{self, parse};
 
 const HEAD: &str = "name = \"x\"\nkind = \"real\"\nover = \"backends\"\nlongest_s = 600\n";
 
@@ -81,3 +81,18 @@
     let line = refused(&with_point("load_s = 900"));
     assert!(line.starts_with("longest_s: expected at least 9"), "{line}");
 }
+
+#[test]
+fn every_plan_of_this_package_is_sound() {
+    let directory = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("plans");
+    let mut count = 0;
+    for file in std::fs::read_dir(directory).expect("plans") {
+        let path = file.expect("a file").path();
+        let plan = plan_file::load(&path).unwrap_or_else(|e| panic!("{}: {e}", path.display()));
+        let longest_s = |point| machine_limits::longest_duration_s(plan.kind, point);
+        let seconds: f64 = plan.points.iter().map(longest_s).sum();
+        assert!(seconds <= plan.longest_s, "{}: {seconds}", path.display());
+        count += 1;
+    }
+    assert!(count >= 9, "{count} plans");
+}
