--- /dev/null
+++ b/scale/src/discovery/call_queue.rs
@@ -0,0 +1,131 @@
+//! The queue of calls: they are handled one after another, each with its work.
+
+use super::counters::SharedCounters;
+use crate::plan::{DiscoveryMode, Point};
+use std::cell::Cell;
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::time::{sleep_until, Instant};
+
+/// What calls cost the service.
+#[derive(Clone, Copy, Debug)]
+pub struct CallCosts {
+    /// Work for each call.
+    pub call: Duration,
+    /// Work for each entry of a response.
+    pub entry: Duration,
+    /// Calls that may wait in its queue; more are rejected.
+    pub queue_capacity: usize,
+    /// Each proxy has an agent beside it: calls cost nothing to anybody else.
+    pub has_agents: bool,
+}
+
+impl CallCosts {
+    /// What calls cost the discovery service of a point.
+    pub fn of(point: &Point) -> CallCosts {
+        CallCosts {
+            call: Duration::from_micros(point.discovery.call_us),
+            entry: Duration::from_secs_f64(point.discovery.line_us / 1e6),
+            queue_capacity: point.discovery.queue,
+            has_agents: point.discovery.mode == DiscoveryMode::Push,
+        }
+    }
+}
+
+/// What becomes of a call that finds the queue full.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum WhenFull {
+    /// It is rejected.
+    Reject,
+    /// It waits all the same: its call was admitted before.
+    Wait,
+}
+
+/// The queue was full.
+#[derive(Debug)]
+pub(super) struct QueueFull;
+
+/// Calls that wait for their work to be done.
+pub(super) struct CallQueue {
+    costs: CallCosts,
+    counters: Arc<SharedCounters>,
+    /// When the work of all that wait is done.
+    idle_at: Cell<Instant>,
+    waiting: Cell<u64>,
+    current_second: Cell<SecondOfCalls>,
+}
+
+/// A second, and the calls that came in it.
+#[derive(Clone, Copy)]
+struct SecondOfCalls {
+    began_at: Instant,
+    calls: u64,
+}
+
+impl CallQueue {
+    pub fn new(costs: CallCosts, counters: Arc<SharedCounters>) -> CallQueue {
+        CallQueue {
+            costs,
+            counters,
+            idle_at: Cell::new(Instant::now()),
+            waiting: Cell::new(0),
+            current_second: Cell::new(SecondOfCalls { began_at: Instant::now(), calls: 0 }),
+        }
+    }
+
+    /// Work for a call.
+    pub fn call_work(&self) -> Duration {
+        self.costs.call
+    }
+
+    /// Work for the entries of a response.
+    pub fn entries_work(&self, count: usize) -> Duration {
+        self.costs.entry * count as u32
+    }
+
+    /// Counts a call that came.
+    pub fn record_call(&self) {
+        self.counters.count_call();
+        let mut second = self.current_second.get();
+        if second.began_at.elapsed() >= Duration::from_secs(1) {
+            second = SecondOfCalls { began_at: Instant::now(), calls: 0 };
+        }
+        second.calls += 1;
+        self.current_second.set(second);
+        self.counters.record_call_rate(second.calls);
+    }
+
+    /// Waits for the work of all calls before this one and for its own.
+    pub async fn wait_for(&self, work: Duration, when_full: WhenFull) -> Result<(), QueueFull> {
+        if self.costs.has_agents || work.is_zero() {
+            return Ok(());
+        }
+        let is_full = self.waiting.get() >= self.costs.queue_capacity as u64;
+        if is_full && when_full == WhenFull::Reject {
+            return Err(QueueFull);
+        }
+        let _slot = Slot::take(&self.waiting);
+        self.counters.record_queue(self.waiting.get());
+        let done_at = self.idle_at.get().max(Instant::now()) + work;
+        self.idle_at.set(done_at);
+        sleep_until(done_at).await;
+        Ok(())
+    }
+}
+
+/// A place in the queue, given back however the call ends. The work of a caller that went away is done all
+/// the same.
+struct Slot<'a>(&'a Cell<u64>);
+
+impl<'a> Slot<'a> {
+    fn take(waiting: &'a Cell<u64>) -> Slot<'a> {
+        waiting.set(waiting.get() + 1);
+        Slot(waiting)
+    }
+}
+
+impl Drop for Slot<'_> {
+    fn drop(&mut self) {
+        self.0.set(self.0.get().saturating_sub(1));
+    }
+}
--- /dev/null
+++ b/scale/src/discovery/server.rs
@@ -0,0 +1,241 @@
+//! The server of the discovery service: its connections, and its responses to calls.
+
+use super::call::Call;
+use super::call_queue::{CallCosts, CallQueue, QueueFull, WhenFull};
+use super::counters::SharedCounters;
+use super::listen_socket::{bind_any_port, ListenSocket};
+use crate::counted_stream::CountedStream;
+use crate::endpoint_list::{EndpointList, ListResponse};
+use crate::locking::lock;
+use bytes::Bytes;
+use http_body_util::Full;
+use hyper::body::Incoming;
+use hyper::server::conn::http1;
+use hyper::service::service_fn;
+use hyper::{Request, Response, StatusCode};
+use hyper_util::rt::TokioIo;
+use std::cell::RefCell;
+use std::collections::BTreeMap;
+use std::convert::Infallible;
+use std::io;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::sync::{Arc, Mutex};
+use std::time::Duration;
+use tokio::net::TcpStream;
+use tokio::sync::{mpsc, oneshot, watch};
+use tokio::task::JoinSet;
+use tokio::time::{sleep, timeout};
+
+/// The connections of an address that the service has left are closed this much later.
+const CLOSE_AFTER_RELOCATION: Duration = Duration::from_millis(1_500);
+/// Open connections at one address; more are closed unheard.
+const MAX_CONNECTIONS: usize = 8_192;
+
+/// What the service does with calls.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum DiscoveryBehavior {
+    /// Responds to them.
+    Serve,
+    /// Ends them with 503, also the watches that wait.
+    Reject,
+    /// Takes them and does not respond.
+    Unresponsive,
+    /// Refuses connections and breaks open ones.
+    Down,
+}
+
+/// What the handle of the service asks of its thread.
+pub(super) enum Command {
+    /// Take up another behavior.
+    SetBehavior {
+        behavior: DiscoveryBehavior,
+        /// Fires once it has.
+        done: oneshot::Sender<()>,
+    },
+    /// Move to another port.
+    Relocate {
+        /// Receives the new address.
+        done: oneshot::Sender<io::Result<SocketAddr>>,
+    },
+}
+
+/// A call that gets no list.
+enum CallError {
+    /// No such resource.
+    NotFound,
+    /// The service rejects it.
+    Rejected,
+}
+
+impl From<QueueFull> for CallError {
+    fn from(_: QueueFull) -> CallError {
+        CallError::Rejected
+    }
+}
+
+/// What the thread of the service holds.
+pub(super) struct Server {
+    list: Arc<Mutex<EndpointList>>,
+    versions: watch::Receiver<u64>,
+    counters: Arc<SharedCounters>,
+    behavior: watch::Sender<DiscoveryBehavior>,
+    queue: CallQueue,
+    /// Open connections by the port that took them; dropping a set breaks its connections.
+    connections: RefCell<BTreeMap<u16, JoinSet<()>>>,
+}
+
+impl Server {
+    pub fn new(
+        list: Arc<Mutex<EndpointList>>, versions: watch::Receiver<u64>, costs: CallCosts,
+        counters: Arc<SharedCounters>,
+    ) -> Server {
+        Server {
+            list,
+            versions,
+            queue: CallQueue::new(costs, counters.clone()),
+            counters,
+            behavior: watch::channel(DiscoveryBehavior::Serve).0,
+            connections: RefCell::default(),
+        }
+    }
+
+    /// Serves until the sender of commands is dropped.
+    pub async fn run(
+        self: Rc<Self>, listener: std::net::TcpListener, mut commands: mpsc::Receiver<Command>,
+    ) -> io::Result<()> {
+        let mut socket = ListenSocket::new(listener)?;
+        loop {
+            tokio::select! {
+                command = commands.recv() => match command {
+                    None => return Ok(()),
+                    Some(Command::SetBehavior { behavior, done }) => {
+                        self.set_behavior(behavior, &mut socket)?;
+                        let _ = done.send(());
+                    }
+                    Some(Command::Relocate { done }) => {
+                        let _ = done.send(self.relocate(&mut socket));
+                    }
+                },
+                Some(stream) = socket.accept() => self.clone().connection_accepted(stream, socket.address()),
+            }
+        }
+    }
+
+    fn set_behavior(&self, behavior: DiscoveryBehavior, socket: &mut ListenSocket) -> io::Result<()> {
+        self.behavior.send_replace(behavior);
+        if behavior == DiscoveryBehavior::Down {
+            self.connections.borrow_mut().clear();
+            socket.close();
+            return Ok(());
+        }
+        socket.open()
+    }
+
+    fn relocate(&self, socket: &mut ListenSocket) -> io::Result<SocketAddr> {
+        self.close_connections_later(socket.address().port());
+        *socket = ListenSocket::new(bind_any_port()?)?;
+        Ok(socket.address())
+    }
+
+    fn close_connections_later(&self, port: u16) {
+        let connections = self.connections.borrow_mut().remove(&port);
+        tokio::task::spawn_local(async move {
+            sleep(CLOSE_AFTER_RELOCATION).await;
+            drop(connections);
+        });
+    }
+
+    fn connection_accepted(self: Rc<Self>, stream: TcpStream, address: SocketAddr) {
+        let mut connections = self.connections.borrow_mut();
+        let open = connections.entry(address.port()).or_default();
+        while open.try_join_next().is_some() {}
+        if open.len() < MAX_CONNECTIONS {
+            open.spawn_local(self.clone().serve_connection(stream));
+        }
+    }
+
+    async fn serve_connection(self: Rc<Self>, stream: TcpStream) {
+        let _ = stream.set_nodelay(true);
+        let stream = CountedStream::new(stream, self.counters.bytes());
+        let service = service_fn(|request| self.clone().respond(request));
+        if let Err(error) = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await {
+            tracing::debug!("discovery: a connection ended: {error}");
+        }
+    }
+
+    async fn respond(
+        self: Rc<Self>, request: Request<Incoming>,
+    ) -> Result<Response<Full<Bytes>>, Infallible> {
+        self.queue.record_call();
+        let uri = request.uri();
+        let call = Call::parse(uri.path(), uri.query().unwrap_or(""));
+        match self.list_response(call).await {
+            Ok(list) => Ok(response(StatusCode::OK, list.body)),
+            Err(CallError::NotFound) => Ok(response(StatusCode::NOT_FOUND, Bytes::new())),
+            Err(CallError::Rejected) => {
+                self.counters.count_rejection();
+                Ok(response(StatusCode::SERVICE_UNAVAILABLE, Bytes::new()))
+            }
+        }
+    }
+
+    async fn list_response(&self, call: Option<Call>) -> Result<ListResponse, CallError> {
+        let call = call.ok_or(CallError::NotFound)?;
+        self.require_serving().await?;
+        match call {
+            Call::List => self.snapshot().await,
+            Call::Watch { after, wait } => self.changes(after, wait).await,
+        }
+    }
+
+    async fn snapshot(&self) -> Result<ListResponse, CallError> {
+        let entries = lock(&self.list).entry_count(None);
+        let work = self.queue.call_work() + self.queue.entries_work(entries);
+        self.wait_for_work(work, WhenFull::Reject).await?;
+        self.counters.count_list();
+        Ok(lock(&self.list).response(None))
+    }
+
+    async fn changes(&self, after: u64, wait: Duration) -> Result<ListResponse, CallError> {
+        self.wait_for_work(self.queue.call_work(), WhenFull::Reject).await?;
+        self.wait_for_change(after, wait).await?;
+        let entries = lock(&self.list).entry_count(Some(after));
+        self.wait_for_work(self.queue.entries_work(entries), WhenFull::Wait).await?;
+        Ok(lock(&self.list).response(Some(after)))
+    }
+
+    async fn wait_for_work(&self, work: Duration, when_full: WhenFull) -> Result<(), CallError> {
+        self.queue.wait_for(work, when_full).await?;
+        self.require_serving().await
+    }
+
+    /// Waits until a version other than `after` is in force, or the wait is over: both get a response.
+    async fn wait_for_change(&self, after: u64, wait: Duration) -> Result<(), CallError> {
+        let mut versions = self.versions.clone();
+        let mut behavior = self.behavior.subscribe();
+        tokio::select! {
+            waited = timeout(wait, versions.wait_for(|version| *version != after)) => {
+                tracing::trace!("discovery: a watch ends, news {}", waited.is_ok());
+            }
+            _ = behavior.wait_for(|behavior| *behavior != DiscoveryBehavior::Serve) => {}
+        }
+        self.require_serving().await
+    }
+
+    /// Returns at once where the service responds or rejects, and never while it is unresponsive.
+    async fn require_serving(&self) -> Result<(), CallError> {
+        let behavior = *self.behavior.borrow();
+        match behavior {
+            DiscoveryBehavior::Serve => Ok(()),
+            DiscoveryBehavior::Reject | DiscoveryBehavior::Down => Err(CallError::Rejected),
+            DiscoveryBehavior::Unresponsive => std::future::pending().await,
+        }
+    }
+}
+
+fn response(status: StatusCode, body: Bytes) -> Response<Full<Bytes>> {
+    let mut response = Response::new(Full::new(body));
+    *response.status_mut() = status;
+    response
+}
--- a/scale/src/events.rs
+++ b/scale/src/events.rs
@@ -1,7 +1,7 @@
 //! What happens on a site while requests come: releases, outages and moves of discovery, returns.
 
 use crate::backends::BackendFleet;
-use crate::discovery::{Conduct, Discovery};
+use crate::discovery::{Discovery, DiscoveryBehavior};
 use crate::endpoint_list::EndpointStatus;
 use crate::plan::{EventKind, PlannedEvent, Point};
 use std::net::SocketAddr;
@@ -56,19 +56,21 @@
     tracing::info!("{:?} for {} s", event.what, event.for_s);
     match event.what {
         EventKind::Release => release(stage, lines, lasts).await,
-        EventKind::Refuse => trouble(stage, Conduct::Refuse, lasts).await,
-        EventKind::Silence => trouble(stage, Conduct::Silence, lasts).await,
-        EventKind::Down => trouble(stage, Conduct::Down, lasts).await,
-        EventKind::Reload => return (stage.moved)(stage.discovery.move_away().await?),
+        EventKind::Refuse => trouble(stage, DiscoveryBehavior::Reject, lasts).await,
+        EventKind::Silence => trouble(stage, DiscoveryBehavior::Unresponsive, lasts).await,
+        EventKind::Down => trouble(stage, DiscoveryBehavior::Down, lasts).await,
+        EventKind::Reload => {
+            return (stage.moved)(stage.discovery.relocate().await.map_err(|e| e.to_string())?)
+        }
         EventKind::Return => return (stage.back)(()),
     }
     Ok(())
 }
 
-async fn trouble(stage: &Stage, conduct: Conduct, lasts: Duration) {
-    stage.discovery.conduct(conduct).await;
+async fn trouble(stage: &Stage, behavior: DiscoveryBehavior, lasts: Duration) {
+    stage.discovery.set_behavior(behavior).await;
     sleep(lasts).await;
-    stage.discovery.conduct(Conduct::Serve).await;
+    stage.discovery.set_behavior(DiscoveryBehavior::Serve).await;
 }
 
 /// Each backend drains, goes and starts again cold; all are through at the end of the time.
@@ -90,7 +92,7 @@
         let started = unix_ms();
         (drained..now_drained).for_each(|i| stage.fleet.drain(i));
         (back..now_back).for_each(|i| stage.fleet.start(i));
-        stage.discovery.change(|register| {
+        stage.discovery.update_list(|register| {
             (drained..now_drained).for_each(|i| register.set_status(i, EndpointStatus::Draining, 0));
             (gone..now_gone).for_each(|i| register.set_status(i, EndpointStatus::Removed, 0));
             (back..now_back).for_each(|i| register.set_status(i, EndpointStatus::Ready, started));
@@ -113,8 +115,9 @@
         let due = (start.elapsed().min(lasts).as_secs_f64() * p.changes_per_s) as u64;
         if due > done {
             let lines = u64::from(p.backends);
-            discovery
-                .change(|register| (done..due).for_each(|i| register.toggle_weight((i % lines) as usize)));
+            discovery.update_list(|register| {
+                (done..due).for_each(|i| register.toggle_weight((i % lines) as usize))
+            });
             done = due;
         }
     }
--- a/scale/src/hollow_point.rs
+++ b/scale/src/hollow_point.rs
@@ -2,7 +2,7 @@
 //! it pays for the proxies and for the stand-in of discovery together.
 
 use crate::backends::{self, BackendBehavior, BackendFleet};
-use crate::discovery::{Counts, Discovery};
+use crate::discovery::{CallCosts, Discovery, DiscoveryCounters};
 use crate::endpoint_list::EndpointList;
 use crate::events::{self, Stage};
 use crate::hollow::{Proxies, Sums};
@@ -11,7 +11,6 @@
 use crate::platform::backend_id;
 use crate::point_result::{Check, Figure, PointResult};
 use crate::process::{memory, processor_s};
-use crate::real::costs;
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -26,12 +25,12 @@
 struct Phase {
     seconds: f64,
     processor_s: Option<f64>,
-    discovery: Counts,
+    discovery: DiscoveryCounters,
 }
 
 impl Phase {
     fn control_per_s(&self) -> Option<f64> {
-        let bytes = (self.discovery.bytes_in + self.discovery.bytes_out) as f64;
+        let bytes = self.discovery.bytes() as f64;
         (self.seconds > 0.1).then_some(bytes / self.seconds)
     }
     fn share(&self) -> Option<f64> {
@@ -46,17 +45,10 @@
 
 async fn phase<T>(discovery: &Discovery, work: impl std::future::Future<Output = T>) -> (Phase, T) {
     discovery.reset_peaks();
-    let (start, spent, before) = (Instant::now(), processor_s("self"), discovery.counts());
+    let (start, spent, before) = (Instant::now(), processor_s("self"), discovery.counters());
     let made = work.await;
-    let after = discovery.counts();
-    let counted = Counts {
-        calls: after.calls - before.calls,
-        lists: after.lists - before.lists,
-        refused: after.refused - before.refused,
-        bytes_out: after.bytes_out - before.bytes_out,
-        bytes_in: after.bytes_in - before.bytes_in,
-        ..after
-    };
+    let after = discovery.counters();
+    let counted = after.since(&before);
     let processor_s = processor_s("self").zip(spent).map(|(after, before)| after - before);
     (Phase { seconds: start.elapsed().as_secs_f64(), processor_s, discovery: counted }, made)
 }
@@ -78,8 +70,10 @@
     let addresses: Vec<_> = (0..p.backends).map(|n| backend_address(n, 80)).collect();
     let fleet = Arc::new(BackendFleet::new(addresses.len(), BackendBehavior::of(p), p.seed));
     let ids = (0..addresses.len()).map(|n| (backend_id(&backend_name(n)), n)).collect();
-    let discovery = Rc::new(Discovery::start(EndpointList::new(p, &addresses), costs(p))?);
-    discovery.whole();
+    let discovery = Rc::new(
+        Discovery::start(EndpointList::new(p, &addresses), CallCosts::of(p)).map_err(|e| e.to_string())?,
+    );
+    discovery.snapshot();
     let empty = memory("self");
     let proxies = Rc::new(Proxies::start(p, &fleet, ids, discovery.address())?);
     let (start, started) = phase(&discovery, ready(p, &proxies)).await;
@@ -143,19 +137,19 @@
     let some = |n: u64| Some(n as f64);
     vec![
         Figure::new("start_calls", some(start.discovery.calls)),
-        Figure::new("start_refused", some(start.discovery.refused)),
+        Figure::new("start_refused", some(start.discovery.rejected)),
         Figure::new("start_longest_queue", some(start.discovery.longest_queue)),
-        Figure::new("start_peak_calls_per_s", some(start.discovery.peak_per_s)),
-        Figure::new("start_bytes", some(start.discovery.bytes_in + start.discovery.bytes_out)),
+        Figure::new("start_peak_calls_per_s", some(start.discovery.peak_calls_per_s)),
+        Figure::new("start_bytes", some(start.discovery.bytes())),
         Figure::new("rest_bytes_per_s", rest.control_per_s()),
         Figure::new("change_calls", some(change.discovery.calls)),
-        Figure::new("change_refused", some(change.discovery.refused)),
+        Figure::new("change_refused", some(change.discovery.rejected)),
         Figure::new("change_bytes_per_s", change.control_per_s()),
         Figure::new("load_calls", some(load.discovery.calls)),
         Figure::new("load_lists", some(load.discovery.lists)),
-        Figure::new("load_refused", some(load.discovery.refused)),
+        Figure::new("load_refused", some(load.discovery.rejected)),
         Figure::new("load_longest_queue", some(load.discovery.longest_queue)),
-        Figure::new("load_peak_calls_per_s", some(load.discovery.peak_per_s)),
+        Figure::new("load_peak_calls_per_s", some(load.discovery.peak_calls_per_s)),
         Figure::new("load_bytes_per_s", load.control_per_s()),
     ]
 }
--- a/scale/src/real.rs
+++ b/scale/src/real.rs
@@ -2,10 +2,10 @@
 
 use crate::backends::{self, BackendBehavior, BackendFleet};
 use crate::clients::{Clients, Tally};
-use crate::discovery::{Costs, Counts, Discovery};
+use crate::discovery::{CallCosts, Discovery, DiscoveryCounters};
 use crate::endpoint_list::EndpointList;
 use crate::events::{self, Stage};
-use crate::plan::{DiscoveryMode, Point};
+use crate::plan::Point;
 use crate::point_result::{Check, Figure, PointResult};
 use crate::process::Process;
 use crate::random::proxy_seed;
@@ -56,16 +56,6 @@
     }
 }
 
-/// What the discovery of a point costs.
-pub fn costs(p: &Point) -> Costs {
-    Costs {
-        call: Duration::from_micros(p.discovery.call_us),
-        line: Duration::from_secs_f64(p.discovery.line_us / 1e6),
-        queue: p.discovery.queue,
-        agent: p.discovery.mode == DiscoveryMode::Push,
-    }
-}
-
 fn config(p: &Point, position: u32, discovery: SocketAddr, known: Option<&Value>) -> Value {
     let mut config = json!({
         "name": format!("n{position}"), "listen": "127.0.0.1:0", "discovery": discovery.to_string(),
@@ -85,8 +75,10 @@
     let fleet = Arc::new(BackendFleet::new(addresses.len(), BackendBehavior::of(p), p.seed));
     let (_end_of_backends, ending) = tokio::sync::watch::channel(());
     backends::serve(&fleet, listeners, &ending).map_err(|e| e.to_string())?;
-    let discovery = Rc::new(Discovery::start(EndpointList::new(p, &addresses), costs(p))?);
-    let known = p.known.then(|| serde_json::from_slice(&discovery.whole().body).unwrap_or_default());
+    let discovery = Rc::new(
+        Discovery::start(EndpointList::new(p, &addresses), CallCosts::of(p)).map_err(|e| e.to_string())?,
+    );
+    let known = p.known.then(|| serde_json::from_slice(&discovery.snapshot().body).unwrap_or_default());
     let mut proxies = Vec::new();
     for position in 0..p.proxies {
         let config = config(p, position, discovery.address(), known.as_ref());
@@ -104,7 +96,7 @@
     measured.load = phase_of_load;
     measured.memory_after = memory(&proxies);
     let codes = end(p, &proxies).await;
-    Ok(row(p, &measured, &tally?, &fleet.counters(), &discovery.counts(), &codes))
+    Ok(row(p, &measured, &tally?, &fleet.counters(), &discovery.counters(), &codes))
 }
 
 /// What a phase took of all proxies and of discovery.
@@ -120,17 +112,13 @@
 async fn phase<T>(
     discovery: &Discovery, proxies: &RefCell<Vec<Process>>, work: impl std::future::Future<Output = T>,
 ) -> (Phase, T) {
-    let (start, before, bytes) = (Instant::now(), processor(proxies), traffic(discovery.counts()));
+    let (start, before, bytes) = (Instant::now(), processor(proxies), discovery.counters().bytes());
     let made = work.await;
     let processor_s = processor(proxies).zip(before).map(|(after, before)| after - before);
-    let control = traffic(discovery.counts()) - bytes;
+    let control = discovery.counters().bytes() - bytes;
     (Phase { seconds: start.elapsed().as_secs_f64(), processor_s, control }, made)
 }
 
-fn traffic(counts: Counts) -> u64 {
-    counts.bytes_in + counts.bytes_out
-}
-
 fn processor(proxies: &RefCell<Vec<Process>>) -> Option<f64> {
     proxies.borrow().iter().map(Process::processor_s).sum()
 }
@@ -241,8 +229,8 @@
 }
 
 fn row(
-    p: &Point, m: &Measured, tally: &Tally, backends: &backends::BackendCounters, discovery: &Counts,
-    codes: &[Option<i32>],
+    p: &Point, m: &Measured, tally: &Tally, backends: &backends::BackendCounters,
+    discovery: &DiscoveryCounters, codes: &[Option<i32>],
 ) -> PointResult {
     let proxies = f64::from(p.proxies);
     let slowest = m.ready.iter().copied().collect::<Option<Vec<_>>>().and_then(|all| all.into_iter().max());
@@ -268,9 +256,9 @@
         Figure::new("control_load_bytes_per_s", per_s(m.load)),
         Figure::new("discovery_calls", count(discovery.calls)),
         Figure::new("discovery_lists", count(discovery.lists)),
-        Figure::new("discovery_refused", count(discovery.refused)),
+        Figure::new("discovery_refused", count(discovery.rejected)),
         Figure::new("discovery_longest_queue", count(discovery.longest_queue)),
-        Figure::new("discovery_peak_calls_per_s", count(discovery.peak_per_s)),
+        Figure::new("discovery_peak_calls_per_s", count(discovery.peak_calls_per_s)),
         Figure::new("planned", count(tally.planned)),
         Figure::new("served", count(tally.served)),
         Figure::new("refused", count(tally.refused)),
--- a/scale/tests/discovery.rs
+++ b/scale/tests/discovery.rs
@@ -1,6 +1,6 @@
-//! The stand-in of discovery speaks the published protocol, and its troubles look as they should.
+//! The stand-in of discovery speaks the published protocol, and its failures look as they should.
 
-use scale_test::discovery::{Conduct, Costs, Discovery};
+use scale_test::discovery::{CallCosts, Discovery, DiscoveryBehavior};
 use scale_test::endpoint_list::{EndpointList, EndpointStatus};
 use scale_test::naming::backend_address;
 use scale_test::plan_file::parse;
@@ -10,16 +10,16 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-const LINES: u32 = 5;
+const ENTRIES: u32 = 5;
 
 /// Far longer than anything here takes.
 const LONG: Duration = Duration::from_secs(10);
 
 fn start(call: Duration, queue: usize) -> Discovery {
     let head = "name = \"x\"\nkind = \"real\"\nover = \"backends\"\nlongest_s = 60\n";
-    let plan = parse(&format!("{head}[[points]]\nbackends = {LINES}\n")).expect("sound");
-    let addresses: Vec<SocketAddr> = (0..LINES).map(|n| backend_address(n, 80)).collect();
-    let costs = Costs { call, line: Duration::ZERO, queue, agent: false };
+    let plan = parse(&format!("{head}[[points]]\nbackends = {ENTRIES}\n")).expect("sound");
+    let addresses: Vec<SocketAddr> = (0..ENTRIES).map(|n| backend_address(n, 80)).collect();
+    let costs = CallCosts { call, entry: Duration::ZERO, queue_capacity: queue, has_agents: false };
     Discovery::start(EndpointList::new(&plan.points[0], &addresses), costs).expect("started")
 }
 
@@ -62,46 +62,46 @@
 }
 
 #[test]
-fn it_lists_all_and_a_watch_tells_what_changed() {
+fn a_call_returns_the_whole_list_and_a_watch_what_changed() {
     let discovery = start(Duration::from_micros(100), 100);
     let whole = list(discovery.address(), "/api/targets");
     assert_eq!((whole["snapshot"].as_bool(), whole["index"].as_u64()), (Some(true), Some(1)));
     let endpoints = whole["endpoints"].as_array().expect("lines");
-    assert_eq!(endpoints.len(), LINES as usize);
+    assert_eq!(endpoints.len(), ENTRIES as usize);
     let read = read_endpoint_list(&whole);
-    assert_eq!(read.map(|backends| backends.len()), Ok(LINES as usize), "the proxy's own reader takes it");
+    assert_eq!(read.map(|backends| backends.len()), Ok(ENTRIES as usize), "the proxy's own reader takes it");
     let began = Instant::now();
     let mut watch = send(discovery.address(), "/api/targets?after=1&wait_ms=9000");
     std::thread::sleep(Duration::from_millis(100));
-    discovery.change(|list| list.set_status(3, EndpointStatus::Draining, 0));
+    discovery.update_list(|list| list.set_status(3, EndpointStatus::Draining, 0));
     let (status, body) = answer(&mut watch).expect("an answer");
-    let news: Value = serde_json::from_slice(&body).expect("JSON");
-    assert!(began.elapsed() < Duration::from_secs(5), "at the news, not at the end of the wait");
-    assert_eq!((status, news["snapshot"].as_bool(), news["index"].as_u64()), (200, Some(false), Some(2)));
-    assert_eq!(news["endpoints"].as_array().map(Vec::len), Some(1));
-    assert_eq!(news["endpoints"][0]["status"], "draining");
-    assert_eq!(news["endpoints"][0]["name"], endpoints[3]["name"]);
+    let delta: Value = serde_json::from_slice(&body).expect("JSON");
+    assert!(began.elapsed() < Duration::from_secs(5), "at the change, not at the end of the wait");
+    assert_eq!((status, delta["snapshot"].as_bool(), delta["index"].as_u64()), (200, Some(false), Some(2)));
+    assert_eq!(delta["endpoints"].as_array().map(Vec::len), Some(1));
+    assert_eq!(delta["endpoints"][0]["status"], "draining");
+    assert_eq!(delta["endpoints"][0]["name"], endpoints[3]["name"]);
 }
 
 #[test]
-fn a_watch_without_news_ends_empty_and_one_of_a_version_never_told_gets_all() {
+fn a_watch_without_changes_ends_empty_and_one_of_an_old_version_gets_a_snapshot() {
     let discovery = start(Duration::from_micros(100), 100);
     let nothing = list(discovery.address(), "/api/targets?after=1&wait_ms=50");
     assert_eq!(
         (nothing["endpoints"].as_array().map(Vec::len), nothing["index"].as_u64()),
         (Some(0), Some(1))
     );
-    discovery.change(|list| {
+    discovery.update_list(|list| {
         for change in 0..20 {
             list.toggle_weight(change % 5);
         }
     });
     let old = list(discovery.address(), "/api/targets?after=1&wait_ms=50");
-    assert_eq!(old["snapshot"].as_bool(), Some(true), "too many changes ago to be told one by one");
+    assert_eq!(old["snapshot"].as_bool(), Some(true), "too many changes ago for a delta");
 }
 
 #[test]
-fn calls_are_handled_one_after_another_and_past_its_queue_they_are_refused() {
+fn calls_are_handled_one_after_another_and_rejected_once_the_queue_is_full() {
     let discovery = start(Duration::from_millis(200), 3);
     let mut calls: Vec<_> = (0..6).map(|_| send(discovery.address(), "/api/targets")).collect();
     let began = Instant::now();
@@ -109,37 +109,37 @@
     statuses.sort_unstable();
     assert_eq!(statuses, [200, 200, 200, 503, 503, 503]);
     assert!(began.elapsed() >= Duration::from_millis(400), "three turns of 200 ms, the first begun before");
-    let counts = discovery.counts();
-    assert_eq!((counts.calls, counts.lists, counts.refused, counts.longest_queue), (6, 3, 3, 3));
-    assert!(counts.bytes_out > counts.bytes_in && counts.bytes_in > 0);
+    let counters = discovery.counters();
+    assert_eq!((counters.calls, counters.lists, counters.rejected, counters.longest_queue), (6, 3, 3, 3));
+    assert!(counters.bytes_out > counters.bytes_in && counters.bytes_in > 0);
 }
 
 #[test]
-fn it_refuses_falls_silent_goes_down_and_comes_back() {
+fn discovery_rejects_calls_stays_unresponsive_goes_down_and_recovers() {
     let discovery = start(Duration::from_micros(100), 100);
     let address = discovery.address();
     let mut watch = send(address, "/api/targets?after=1&wait_ms=9000");
     std::thread::sleep(Duration::from_millis(100));
-    wait(discovery.conduct(Conduct::Refuse));
+    wait(discovery.set_behavior(DiscoveryBehavior::Reject));
     assert_eq!(answer(&mut watch).map(|a| a.0), Some(503), "a watch ends with it");
     assert_eq!(answer(&mut send(address, "/api/targets")).map(|a| a.0), Some(503));
-    wait(discovery.conduct(Conduct::Silence));
-    let mut unheard = send(address, "/api/targets");
-    unheard.get_mut().set_read_timeout(Some(Duration::from_millis(300))).expect("a limit");
-    assert_eq!(answer(&mut unheard), None, "taken and never answered");
-    wait(discovery.conduct(Conduct::Down));
+    wait(discovery.set_behavior(DiscoveryBehavior::Unresponsive));
+    let mut unanswered = send(address, "/api/targets");
+    unanswered.get_mut().set_read_timeout(Some(Duration::from_millis(300))).expect("a limit");
+    assert_eq!(answer(&mut unanswered), None, "taken and never answered");
+    wait(discovery.set_behavior(DiscoveryBehavior::Down));
     assert!(TcpStream::connect(address).is_err(), "nobody listens");
-    wait(discovery.conduct(Conduct::Serve));
+    wait(discovery.set_behavior(DiscoveryBehavior::Serve));
     assert_eq!(list(address, "/api/targets")["index"].as_u64(), Some(1));
 }
 
 #[test]
-fn it_moves_to_another_port_and_leaves_the_old_one() {
+fn discovery_relocates_to_another_port_and_leaves_the_old_one() {
     let discovery = start(Duration::from_micros(100), 100);
     let old = discovery.address();
     let mut watch = send(old, "/api/targets?after=1&wait_ms=9000");
     std::thread::sleep(Duration::from_millis(100));
-    let new = wait(discovery.move_away()).expect("moved");
+    let new = wait(discovery.relocate()).expect("moved");
     assert_ne!(old, new);
     assert_eq!(list(new, "/api/targets")["index"].as_u64(), Some(1));
     assert!(TcpStream::connect(old).is_err(), "no new connections");
