--- /dev/null
+++ b/scale/src/clients/mod.rs
@@ -0,0 +1,100 @@
+//! Open-loop clients: requests go out when they are planned, whatever became of those before, and their time
+//! counts from the plan.
+
+mod connection_pool;
+mod counters;
+mod schedule;
+
+pub use counters::ClientCounters;
+
+use crate::latency::HistogramError;
+use crate::local_runtime::{spawn_local_runtime, spawn_thread, ThreadError};
+use crate::plan::Point;
+use connection_pool::ConnectionPool;
+use counters::{RequestOutcome, SharedCounters};
+use schedule::PlannedRequest;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::thread::JoinHandle;
+use std::time::Duration;
+use tokio::sync::mpsc;
+use tokio::task::JoinSet;
+use tokio::time::{timeout_at, Instant};
+
+/// Requests that are due and not yet sent; more are counted as unsent.
+const DUE_REQUESTS: usize = 4_096;
+/// No answer is waited for longer than this after the deadline.
+const GRACE: Duration = Duration::from_secs(1);
+
+/// Why the clients could not be started.
+#[derive(Debug, thiserror::Error)]
+pub enum ClientsError {
+    /// Their latencies cannot be recorded.
+    #[error(transparent)]
+    Histogram(#[from] HistogramError),
+    /// A thread could not be started.
+    #[error(transparent)]
+    Thread(#[from] ThreadError),
+}
+
+/// Clients at work; they end by themselves.
+pub struct Clients {
+    counters: SharedCounters,
+    threads: Vec<JoinHandle<()>>,
+}
+
+impl Clients {
+    /// Starts them: Poisson arrivals over all proxies for the time of the point's load.
+    pub fn start(point: &Point, proxies: &[SocketAddr]) -> Result<Clients, ClientsError> {
+        let counters = SharedCounters::new()?;
+        let (sender, due) = mpsc::channel(DUE_REQUESTS);
+        let sending = {
+            let (proxies, counters) = (proxies.to_vec(), counters.clone());
+            let max_connections = point.connections;
+            let deadline = Duration::from_millis(point.deadline_ms);
+            spawn_local_runtime("clients", move || async move {
+                let pools = connection_pools(proxies, max_connections, deadline, &counters);
+                send_requests(&pools, due, deadline, &counters).await;
+            })?
+        };
+        let pacing = {
+            let (point, proxies, counters) = (point.clone(), proxies.len(), counters.clone());
+            spawn_thread("pace", move || schedule::run(&point, proxies, &sender, &counters))?
+        };
+        Ok(Clients { counters, threads: vec![sending, pacing] })
+    }
+
+    /// Whether every request has come to its end.
+    pub fn are_done(&self) -> bool {
+        self.threads.iter().all(JoinHandle::is_finished)
+    }
+
+    /// What came of the requests so far.
+    pub fn counters(&self) -> ClientCounters {
+        self.counters.snapshot()
+    }
+}
+
+fn connection_pools(
+    proxies: Vec<SocketAddr>, max_connections: u32, deadline: Duration, counters: &SharedCounters,
+) -> Vec<Rc<ConnectionPool>> {
+    let pool = |proxy| Rc::new(ConnectionPool::new(proxy, max_connections, deadline, counters.clone()));
+    proxies.into_iter().map(pool).collect()
+}
+
+async fn send_requests(
+    pools: &[Rc<ConnectionPool>], mut due: mpsc::Receiver<PlannedRequest>, deadline: Duration,
+    counters: &SharedCounters,
+) {
+    let mut in_flight = JoinSet::new();
+    while let Some(request) = due.recv().await {
+        let (pool, counters) = (pools[request.proxy].clone(), counters.clone());
+        in_flight.spawn_local(async move {
+            let limit = Instant::from_std(request.planned_at + deadline + GRACE);
+            let outcome = timeout_at(limit, pool.exchange(&request)).await;
+            counters.lock().record(request.planned_at, outcome.unwrap_or(RequestOutcome::Lost));
+        });
+        while in_flight.try_join_next().is_some() {}
+    }
+    while in_flight.join_next().await.is_some() {}
+}
--- a/scale/src/lib.rs
+++ b/scale/src/lib.rs
@@ -11,6 +11,7 @@
 pub mod events;
 pub mod hollow;
 pub mod hollow_point;
+pub mod latency;
 pub mod linear_fit;
 pub mod local_runtime;
 pub mod locking;
--- a/scale/src/real.rs
+++ b/scale/src/real.rs
@@ -1,7 +1,7 @@
 //! A point with processes of the real program: rest, changes of the list, load with its events, the end.
 
 use crate::backends::{self, BackendBehavior, BackendFleet};
-use crate::clients::{Clients, Tally};
+use crate::clients::{ClientCounters, Clients};
 use crate::discovery::{CallCosts, Discovery, DiscoveryCounters};
 use crate::endpoint_list::EndpointList;
 use crate::events::{self, Stage};
@@ -165,9 +165,9 @@
 /// Requests for the point's time, and what happens meanwhile; ends with the last answer.
 async fn load(
     p: &Point, discovery: &Rc<Discovery>, fleet: &Arc<BackendFleet>, proxies: &Rc<RefCell<Vec<Process>>>,
-) -> Result<Tally, String> {
+) -> Result<ClientCounters, String> {
     let addresses: Vec<SocketAddr> = proxies.borrow().iter().map(|r| r.address).collect();
-    let clients = Clients::start(p, &addresses)?;
+    let clients = Clients::start(p, &addresses).map_err(|e| e.to_string())?;
     let (point, all) = (p.clone(), proxies.clone());
     let moved = Box::new(move |to| {
         let proxies = all.borrow();
@@ -177,10 +177,10 @@
     let back = Box::new(|()| Err("processes do not return in this mode".to_string()));
     let (discovery, fleet) = (discovery.clone(), fleet.clone());
     events::play(p, Rc::new(Stage { discovery, fleet, moved, back })).await?;
-    while !clients.done() {
+    while !clients.are_done() {
         sleep(Duration::from_millis(10)).await;
     }
-    Ok(clients.tally())
+    Ok(clients.counters())
 }
 
 /// SIGTERM to all; gives each one's exit code, none where a signal ended it or nothing did in time.
@@ -229,14 +229,14 @@
 }
 
 fn row(
-    p: &Point, m: &Measured, tally: &Tally, backends: &backends::BackendCounters,
+    p: &Point, m: &Measured, tally: &ClientCounters, backends: &backends::BackendCounters,
     discovery: &DiscoveryCounters, codes: &[Option<i32>],
 ) -> PointResult {
     let proxies = f64::from(p.proxies);
     let slowest = m.ready.iter().copied().collect::<Option<Vec<_>>>().and_then(|all| all.into_iter().max());
     let per_s =
         |phase: Phase| Some(phase.control as f64).filter(|_| phase.seconds > 0.1).map(|b| b / phase.seconds);
-    let added = |part: f64| (tally.served > 0).then(|| tally.added.value_at_quantile(part) as f64);
+    let added = |part: f64| (tally.served > 0).then(|| tally.added_latency.quantile_us(part) as f64);
     let mb = |bytes: Option<f64>| bytes.map(|b| b / 1e6);
     let count = |n: u64| Some(n as f64);
     let figures = vec![
@@ -250,7 +250,7 @@
         Figure::new("added_p99_us", added(0.99)),
         Figure::new("added_p999_us", added(0.999)),
         Figure::new("added_worst_us", added(1.0)),
-        Figure::new("pause_ms", Some(tally.pause.as_secs_f64() * 1e3)),
+        Figure::new("pause_ms", Some(tally.longest_pause.as_secs_f64() * 1e3)),
         Figure::new("control_rest_bytes_per_s", per_s(m.rest)),
         Figure::new("control_change_bytes_per_s", per_s(m.change)),
         Figure::new("control_load_bytes_per_s", per_s(m.load)),
@@ -261,11 +261,11 @@
         Figure::new("discovery_peak_calls_per_s", count(discovery.peak_calls_per_s)),
         Figure::new("planned", count(tally.planned)),
         Figure::new("served", count(tally.served)),
-        Figure::new("refused", count(tally.refused)),
+        Figure::new("refused", count(tally.rejected)),
         Figure::new("failed", count(tally.failed)),
         Figure::new("lost", count(tally.lost)),
         Figure::new("unsent", count(tally.unsent)),
-        Figure::new("crossed", count(tally.crossed)),
+        Figure::new("crossed", count(tally.resent)),
         Figure::new("connections_to_backends", count(backends.connections)),
         Figure::new("sent_to_draining", count(backends.rejected)),
         Figure::new("sent_to_draining_late", count(backends.late)),
@@ -276,7 +276,7 @@
 }
 
 fn checks(
-    m: &Measured, tally: &Tally, backends: &backends::BackendCounters, codes: &[Option<i32>],
+    m: &Measured, tally: &ClientCounters, backends: &backends::BackendCounters, codes: &[Option<i32>],
 ) -> Vec<Check> {
     let ready = m.ready.iter().flatten().count();
     let clean = codes.iter().filter(|c| **c == Some(0)).count();
@@ -289,12 +289,12 @@
         },
         Check {
             name: "every request taken has one final answer",
-            holds: tally.lost == 0 && tally.strays == 0 && tally.answered() == owed,
+            holds: tally.lost == 0 && tally.unexpected == 0 && tally.answered() == owed,
             seen: format!(
                 "{} answers to {owed}, {} lost, {} unasked, {} unsent",
                 tally.answered(),
                 tally.lost,
-                tally.strays,
+                tally.unexpected,
                 tally.unsent
             ),
         },
