--- a/scale/src/hollow_point.rs
+++ b/scale/src/hollow_point.rs
@@ -5,12 +5,12 @@
 use crate::discovery::{CallCosts, Discovery, DiscoveryCounters};
 use crate::endpoint_list::EndpointList;
 use crate::events::{self, Stage};
-use crate::hollow::{Proxies, Sums};
 use crate::naming::{backend_address, backend_name};
 use crate::plan::{EventKind, Point};
 use crate::platform::backend_id;
 use crate::point_result::{Check, Figure, PointResult};
 use crate::process::{memory, processor_s};
+use crate::simulated_proxy::{ProxyCounters, ProxyFleet};
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -54,10 +54,10 @@
 }
 
 /// Waits until all proxies have their list, or the time for it is over; how many have.
-async fn ready(p: &Point, proxies: &Proxies) -> u64 {
+async fn ready(p: &Point, proxies: &ProxyFleet) -> u64 {
     let limit = Instant::now() + Duration::from_secs_f64(p.ready_s);
     loop {
-        let ready = proxies.sums().ready.len();
+        let ready = proxies.counters().time_to_ready.count();
         if ready >= u64::from(p.proxies) || Instant::now() >= limit {
             return ready;
         }
@@ -75,29 +75,29 @@
     );
     discovery.snapshot();
     let empty = memory("self");
-    let proxies = Rc::new(Proxies::start(p, &fleet, ids, discovery.address())?);
+    let proxies = Rc::new(ProxyFleet::start(p, &fleet, ids, discovery.address()).map_err(|e| e.to_string())?);
     let (start, started) = phase(&discovery, ready(p, &proxies)).await;
-    let first = proxies.sums().ready;
+    let first = proxies.counters().time_to_ready;
     sleep(SETTLE).await;
     let held = memory("self").zip(empty).map(|(full, empty)| full.saturating_sub(empty) as f64);
     let rest = phase(&discovery, sleep(Duration::from_secs_f64(p.rest_s))).await.0;
     let (change, lines) = phase(&discovery, events::touch(&discovery, p)).await;
     let (load, played) = phase(&discovery, load(p, &discovery, &fleet, &proxies)).await;
     played?;
-    let (sums, backends) = (proxies.sums(), fleet.counters());
+    let (sums, backends) = (proxies.counters(), fleet.counters());
     let ms = |us: u64| Some(us as f64 / 1e3);
     let mut figures = vec![
         Figure::new("memory_per_proxy_mb", held.map(|b| b / f64::from(p.proxies) / 1e6)),
-        Figure::new("ready_p50_ms", ms(first.value_at_quantile(0.5))),
-        Figure::new("ready_worst_ms", ms(first.max())),
-        Figure::new("return_ready_p50_ms", ms(sums.ready.value_at_quantile(0.5))),
-        Figure::new("return_ready_worst_ms", ms(sums.ready.max())),
+        Figure::new("ready_p50_ms", ms(first.quantile_us(0.5))),
+        Figure::new("ready_worst_ms", ms(first.max_us())),
+        Figure::new("return_ready_p50_ms", ms(sums.time_to_ready.quantile_us(0.5))),
+        Figure::new("return_ready_worst_ms", ms(sums.time_to_ready.max_us())),
         Figure::new("rest_core_share_of_all", rest.share()),
         Figure::new("changed_line_us", change.each_us(&rest, lines as f64 * f64::from(p.proxies))),
         Figure::new("request_us", load.each_us(&rest, sums.planned as f64)),
-        Figure::new("added_p50_us", Some(sums.added.value_at_quantile(0.5) as f64)),
-        Figure::new("added_p99_us", Some(sums.added.value_at_quantile(0.99) as f64)),
-        Figure::new("added_p999_us", Some(sums.added.value_at_quantile(0.999) as f64)),
+        Figure::new("added_p50_us", Some(sums.added_latency.quantile_us(0.5) as f64)),
+        Figure::new("added_p99_us", Some(sums.added_latency.quantile_us(0.99) as f64)),
+        Figure::new("added_p999_us", Some(sums.added_latency.quantile_us(0.999) as f64)),
     ];
     if !p.events.iter().any(|e| e.what == EventKind::Return) {
         figures.retain(|f| !f.name.starts_with("return_"));
@@ -109,25 +109,25 @@
 }
 
 async fn load(
-    p: &Point, discovery: &Rc<Discovery>, fleet: &Arc<BackendFleet>, proxies: &Rc<Proxies>,
+    p: &Point, discovery: &Rc<Discovery>, fleet: &Arc<BackendFleet>, proxies: &Rc<ProxyFleet>,
 ) -> Result<(), String> {
     let lasts = Duration::from_secs_f64(p.load_s);
     let start = Instant::now();
-    proxies.load(lasts);
+    proxies.start_load(lasts);
     let (all, returning) = (proxies.clone(), proxies.clone());
     let moved = Box::new(move |to| {
-        all.move_discovery(to);
+        all.discovery_relocated(to);
         Ok(())
     });
     let back = Box::new(move |()| {
-        returning.return_all();
+        returning.restart_all();
         Ok(())
     });
     let stage = Stage { discovery: discovery.clone(), fleet: fleet.clone(), moved, back };
     events::play(p, Rc::new(stage)).await?;
     sleep(lasts.saturating_sub(start.elapsed())).await;
-    proxies.end();
-    while !proxies.ended() {
+    proxies.shut_down();
+    while !proxies.has_ended() {
         sleep(LOOK).await;
     }
     Ok(())
@@ -154,32 +154,32 @@
     ]
 }
 
-fn counts(sums: &Sums, backends: &backends::BackendCounters) -> Vec<Figure> {
+fn counts(sums: &ProxyCounters, backends: &backends::BackendCounters) -> Vec<Figure> {
     let some = |n: u64| Some(n as f64);
     vec![
         Figure::new("planned", some(sums.planned)),
         Figure::new("served", some(sums.served)),
-        Figure::new("refused", some(sums.refused)),
+        Figure::new("refused", some(sums.rejected)),
         Figure::new("failed", some(sums.failed)),
-        Figure::new("cut_by_return", some(sums.cut)),
-        Figure::new("came_while_unready", some(sums.unready)),
+        Figure::new("cut_by_return", some(sums.cut_off)),
+        Figure::new("came_while_unready", some(sums.arrived_unready)),
         Figure::new("attempts", some(sums.attempts)),
-        Figure::new("lost_calls", some(sums.lost_calls)),
+        Figure::new("lost_calls", some(sums.subscriptions_lost)),
         Figure::new("sent_to_draining", some(backends.rejected)),
         Figure::new("sent_to_draining_late", some(backends.late)),
         Figure::new("cold_sum_of_limit", Some(backends.warming_peak_of_limit)),
     ]
 }
 
-fn checks(p: &Point, started: u64, sums: &Sums, backends: &backends::BackendCounters) -> Vec<Check> {
+fn checks(p: &Point, started: u64, sums: &ProxyCounters, backends: &backends::BackendCounters) -> Vec<Check> {
     let all = u64::from(p.proxies);
-    let answers = sums.served + sums.refused + sums.failed;
-    let owed = sums.planned - sums.cut;
+    let answers = sums.served + sums.rejected + sums.failed;
+    let owed = sums.planned - sums.cut_off;
     vec![
         Check {
             name: "every proxy has its list at the start, and again after a return",
-            holds: started == all && sums.ready.len() == all,
-            seen: format!("{started} of {all}, {} at the end", sums.ready.len()),
+            holds: started == all && sums.time_to_ready.count() == all,
+            seen: format!("{started} of {all}, {} at the end", sums.time_to_ready.count()),
         },
         Check {
             name: "every request taken has one final answer",
--- /dev/null
+++ b/scale/src/simulated_proxy/proxy/attempts.rs
@@ -0,0 +1,96 @@
+//! Attempts of a simulated proxy: their dispatch to the backends' model, and their ends.
+
+use super::Proxy;
+use crate::backends::Reception;
+use load_balancer::{AttemptNumber, AttemptResult, BackendId, Event, Micros, Outcome, RequestId, Time};
+use std::cmp::Reverse;
+use std::time::Instant;
+
+/// A rejected attempt ends after this time.
+const REJECTION_TIME: Micros = Micros(1_000);
+
+/// The end of an attempt in flight. The earliest comes first; of equal ones that of the earliest request.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct AttemptEnd {
+    pub due_at: Time,
+    request: RequestId,
+    attempt: AttemptNumber,
+    response: BackendResponse,
+    /// How long the backend took.
+    service_time: Micros,
+}
+
+/// What a backend responds.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+enum BackendResponse {
+    Rejected,
+    Served,
+}
+
+impl Proxy {
+    pub(super) fn dispatch(&mut self, now: Time, request: RequestId, backend: BackendId) {
+        let Some(open) = self.requests.get_mut(&request) else { return };
+        let attempt = AttemptNumber(open.attempt_count);
+        open.attempt_count += 1;
+        let can_be_sent = !open.is_answered && open.deadline > now && self.ready_backends.contains(&backend);
+        let backend_number = self.context.backend_numbers.get(&backend).filter(|_| can_be_sent);
+        let Some(backend_number) = backend_number else {
+            return self.attempt_ended(request, attempt, Outcome::NotSent, Micros(0));
+        };
+        open.in_flight.insert(attempt, now);
+        self.context.counters.lock().attempts += 1;
+        let reception = self.context.backends.request_arrived(*backend_number, Instant::now());
+        let (response, service_time) = match reception {
+            Reception::Served(time) => (BackendResponse::Served, Micros(time.as_micros() as u64)),
+            Reception::Rejected => (BackendResponse::Rejected, REJECTION_TIME),
+        };
+        let due_at = now + service_time;
+        self.attempt_ends.push(Reverse(AttemptEnd { due_at, request, attempt, response, service_time }));
+    }
+
+    /// Ends the attempts whose backends have responded.
+    pub(super) fn end_due_attempts(&mut self, now: Time) {
+        while let Some(end) = self.take_due_end(now) {
+            self.backend_responded(now, end);
+        }
+    }
+
+    fn take_due_end(&mut self, now: Time) -> Option<AttemptEnd> {
+        let Reverse(next) = self.attempt_ends.peek()?;
+        if next.due_at > now {
+            return None;
+        }
+        self.attempt_ends.pop().map(|Reverse(end)| end)
+    }
+
+    fn backend_responded(&mut self, now: Time, end: AttemptEnd) {
+        let Some(open) = self.requests.get_mut(&end.request) else { return };
+        let Some(dispatched_at) = open.in_flight.remove(&end.attempt) else { return };
+        let outcome = match end.response {
+            BackendResponse::Served => Outcome::Success,
+            BackendResponse::Rejected => Outcome::Rejected,
+        };
+        if outcome == Outcome::Success && !open.is_answered {
+            open.is_answered = true;
+            let latency = now - open.arrived_at;
+            let mut counters = self.context.counters.lock();
+            counters.served += 1;
+            counters.added_latency.record_us(latency.0.saturating_sub(end.service_time.0));
+        }
+        self.attempt_ended(end.request, end.attempt, outcome, now - dispatched_at);
+    }
+
+    pub(super) fn cancel_attempt(&mut self, now: Time, request: RequestId, attempt: AttemptNumber) {
+        let Some(open) = self.requests.get_mut(&request) else { return };
+        let Some(dispatched_at) = open.in_flight.remove(&attempt) else { return };
+        self.attempt_ended(request, attempt, Outcome::Cancelled, now - dispatched_at);
+    }
+
+    /// The balancer learns of the end of an attempt with the next tick.
+    pub(super) fn attempt_ended(
+        &mut self, request: RequestId, attempt: AttemptNumber, outcome: Outcome, latency: Micros,
+    ) {
+        let answered = self.requests.get(&request).is_none_or(|open| open.is_answered);
+        self.events.push(Event::AttemptEnded(AttemptResult { request, attempt, outcome, latency, answered }));
+    }
+}
--- /dev/null
+++ b/scale/src/simulated_proxy/proxy/decisions.rs
@@ -0,0 +1,60 @@
+//! The balancer's rounds of decisions at a simulated proxy, and the actions that it asks for.
+
+use super::super::counters::ProxyCounters;
+use super::Proxy;
+use load_balancer::{Action, Event, Micros, RequestId, Time};
+
+impl Proxy {
+    /// Hands all events since the last tick to the balancer.
+    pub(super) fn decide(&mut self, now: Time) {
+        while let Some(token) = self.timers.take_due(now) {
+            self.events.push(Event::TimerFired { token });
+        }
+        if self.events.is_empty() {
+            return;
+        }
+        let tick = self.config.tick;
+        self.next_tick = Time(now.0 - now.0 % tick.0) + tick;
+        let mut actions = Vec::new();
+        for event in std::mem::take(&mut self.events) {
+            let event = self.with_present_time_left(now, event);
+            self.balancer.handle(now, event, &mut actions);
+            for action in std::mem::take(&mut actions) {
+                self.carry_out(now, action);
+            }
+        }
+    }
+
+    /// An arrival has waited for the tick: its time left is that of now.
+    fn with_present_time_left(&self, now: Time, mut event: Event) -> Event {
+        if let Event::RequestArrived(arrival) = &mut event {
+            let open = self.requests.get(&arrival.request);
+            arrival.time_left = open.map_or(Micros(0), |open| open.deadline - now);
+        }
+        event
+    }
+
+    fn carry_out(&mut self, now: Time, action: Action) {
+        match action {
+            Action::Dispatch { request, backend, .. } => self.dispatch(now, request, backend),
+            Action::Reject { request } => self.answer(request, |counters| counters.rejected += 1),
+            Action::Fail { request } => self.answer(request, |counters| counters.failed += 1),
+            Action::CancelAttempt { request, attempt } => self.cancel_attempt(now, request, attempt),
+            Action::SetTimer { token, delay } => self.timers.set(now + delay, token),
+            Action::Resubscribe => self.endpoint_watch.resubscribe(),
+            Action::Log(event) => tracing::debug!("proxy {}: {event}", self.proxy_index),
+        }
+    }
+
+    /// Counts the balancer's final answer to a request, or that it is not the first.
+    fn answer(&mut self, request: RequestId, count: impl FnOnce(&mut ProxyCounters)) {
+        let Some(open) = self.requests.get_mut(&request) else { return };
+        let mut counters = self.context.counters.lock();
+        if open.is_answered {
+            counters.answered_twice += 1;
+        } else {
+            open.is_answered = true;
+            count(&mut counters);
+        }
+    }
+}
--- /dev/null
+++ b/scale/src/simulated_proxy/proxy/mod.rs
@@ -0,0 +1,192 @@
+//! One simulated proxy: a balancer, and the host that feeds it events and carries out its actions.
+
+mod arrivals;
+mod attempts;
+mod deadlines;
+mod decisions;
+
+use super::clock::Clock;
+use super::context::{Phase, ProxyContext};
+use super::endpoint_watch::{EndpointListChange, EndpointWatch};
+use super::error::SimulationError;
+use crate::platform::read_config;
+use crate::random::{proxy_seed, Random};
+use crate::site_settings::proxy_settings;
+use crate::timer_queue::TimerQueue;
+use attempts::AttemptEnd;
+use deadlines::Deadline;
+use load_balancer::{
+    AttemptNumber, BackendId, BackendState, Balancer, Config, EndpointListUpdate, Event, Micros, RequestId,
+    Time,
+};
+use std::cmp::Reverse;
+use std::collections::{BTreeSet, BinaryHeap, HashMap, HashSet};
+use std::time::Instant;
+
+/// The longest sleep of a proxy that waits for nothing: an hour.
+const LONGEST_SLEEP: Micros = Micros(3_600_000_000);
+
+/// A request that is not over.
+struct OpenRequest {
+    arrived_at: Time,
+    deadline: Time,
+    /// Attempts that the balancer asked for.
+    attempt_count: u32,
+    /// When each attempt in flight was dispatched.
+    in_flight: HashMap<AttemptNumber, Time>,
+    /// It has its final answer.
+    is_answered: bool,
+}
+
+/// A simulated proxy.
+pub(super) struct Proxy {
+    context: ProxyContext,
+    config: Config,
+    proxy_index: u32,
+    clock: Clock,
+    random: Random,
+    balancer: Balancer,
+    started_at: Instant,
+    /// It has had a list with a ready backend.
+    is_ready: bool,
+    /// Backends that its list calls ready.
+    ready_backends: HashSet<BackendId>,
+    requests: HashMap<RequestId, OpenRequest>,
+    request_count: u64,
+    next_arrival: Option<Time>,
+    attempt_ends: BinaryHeap<Reverse<AttemptEnd>>,
+    deadlines: BTreeSet<Deadline>,
+    timers: TimerQueue,
+    /// Events for the next round of decisions.
+    events: Vec<Event>,
+    /// When the next round of decisions may be.
+    next_tick: Time,
+    endpoint_watch: EndpointWatch,
+}
+
+impl Proxy {
+    /// A proxy that has just started, without a list. Has to be called inside a local task set.
+    pub fn new(proxy_index: u32, context: ProxyContext) -> Result<Proxy, SimulationError> {
+        let config = read_config(&proxy_settings(&context.point, proxy_index))?;
+        let seed = proxy_seed(context.point.seed, proxy_index);
+        let clock = Clock::new();
+        let endpoint_watch = EndpointWatch::spawn(&config, context.discovery.clone(), clock);
+        Ok(Proxy {
+            balancer: Balancer::new(config.clone(), seed)?,
+            config,
+            proxy_index,
+            clock,
+            random: Random::new(seed),
+            started_at: Instant::now(),
+            is_ready: false,
+            ready_backends: HashSet::new(),
+            requests: HashMap::new(),
+            request_count: 0,
+            next_arrival: None,
+            attempt_ends: BinaryHeap::new(),
+            deadlines: BTreeSet::new(),
+            timers: TimerQueue::default(),
+            // An empty cached list: only after a list does the balancer ask for the next.
+            events: vec![Event::EndpointListChanged {
+                update: EndpointListUpdate::Cached,
+                backends: Vec::new(),
+            }],
+            next_tick: Time(0),
+            endpoint_watch,
+            context,
+        })
+    }
+
+    /// Runs until the fleet shuts down and every request has its answer.
+    pub async fn run(mut self) {
+        let mut phase = self.context.phase.clone();
+        let mut restarts = self.context.restarts.clone();
+        loop {
+            let wakeup = tokio::time::Instant::from_std(self.clock.instant_of(self.next_wakeup()));
+            tokio::select! {
+                biased;
+                changed = phase.changed() => match changed {
+                    Ok(()) => self.phase_began(*phase.borrow_and_update()),
+                    Err(_) => return,
+                },
+                Ok(()) = restarts.changed() => {
+                    let count = *restarts.borrow_and_update();
+                    self = match self.restart(count) {
+                        Ok(restarted) => restarted,
+                        Err(error) => return tracing::error!("a return: {error}"),
+                    };
+                }
+                Some(change) = self.endpoint_watch.next_change() => self.endpoint_list_changed(change),
+                () = tokio::time::sleep_until(wakeup) => {}
+            }
+            self.run_due_work();
+            if *self.context.phase.borrow() == Phase::Shutdown && self.has_answered_all() {
+                return;
+            }
+        }
+    }
+
+    fn has_answered_all(&self) -> bool {
+        self.requests.values().all(|request| request.is_answered)
+    }
+
+    fn phase_began(&mut self, phase: Phase) {
+        if let Phase::Load { .. } = phase {
+            self.next_arrival = Some(self.clock.now());
+            self.schedule_next_arrival();
+        }
+    }
+
+    /// The proxy as a new process would start, with another seed for each restart; arrivals go on.
+    fn restart(self, restart_count: u32) -> Result<Proxy, SimulationError> {
+        let cut_off = self.requests.values().filter(|request| !request.is_answered).count();
+        self.context.counters.lock().cut_off += cut_off as u64;
+        let mut context = self.context.clone();
+        context.point.seed = context.point.seed.wrapping_add(u64::from(restart_count));
+        let mut restarted = Proxy::new(self.proxy_index, context)?;
+        restarted.next_arrival = self.next_arrival.map(|_| restarted.clock.now());
+        Ok(restarted)
+    }
+
+    /// When time alone next brings something about. Decisions wait for the next tick; the end of an attempt
+    /// and a deadline do not.
+    fn next_wakeup(&self) -> Time {
+        let events = if self.events.is_empty() { Time::NEVER } else { self.next_tick };
+        let arrival = self.next_arrival.unwrap_or(Time::NEVER);
+        let decisions = self.timers.next_due().min(arrival).min(events).max(self.next_tick);
+        let deadline = self.deadlines.first().map_or(Time::NEVER, |deadline| deadline.due_at);
+        let attempt_end = self.attempt_ends.peek().map_or(Time::NEVER, |Reverse(end)| end.due_at);
+        decisions.min(deadline).min(attempt_end).min(self.clock.now() + LONGEST_SLEEP)
+    }
+
+    fn run_due_work(&mut self) {
+        let now = self.clock.now();
+        self.end_due_attempts(now);
+        self.expire_deadlines(now);
+        self.take_arrivals(now);
+        if now >= self.next_tick {
+            self.decide(now);
+        }
+    }
+
+    fn endpoint_list_changed(&mut self, change: EndpointListChange) {
+        let EndpointListChange { update, backends } = change;
+        match update {
+            EndpointListUpdate::SubscriptionLost => self.context.counters.lock().subscriptions_lost += 1,
+            EndpointListUpdate::Snapshot | EndpointListUpdate::Cached => self.ready_backends.clear(),
+            EndpointListUpdate::Delta => {}
+        }
+        for backend in &backends {
+            match backend.state {
+                BackendState::Ready => self.ready_backends.insert(backend.id),
+                BackendState::Draining | BackendState::Removed => self.ready_backends.remove(&backend.id),
+            };
+        }
+        if !self.is_ready && !self.ready_backends.is_empty() {
+            self.is_ready = true;
+            let time_to_ready_us = self.started_at.elapsed().as_micros() as u64;
+            self.context.counters.lock().time_to_ready.record_us(time_to_ready_us);
+        }
+        self.events.push(Event::EndpointListChanged { update, backends });
+    }
+}
