--- /dev/null
+++ b/scale/src/balancer_point/mod.rs
@@ -0,0 +1,139 @@
+//! A point with the bare decisions, no sockets at all: time for a request and for a changed entry, over
+//! several seeds.
+
+mod host;
+
+use crate::endpoint_list::EndpointList;
+use crate::naming::backend_address;
+use crate::plan::Point;
+use crate::platform::{read_config, read_endpoint_list, DocumentError};
+use crate::point_result::{Figure, PointResult};
+use crate::site_settings::proxy_settings;
+use host::Host;
+use load_balancer::{Backend, BackendState, ConfigError, EndpointListUpdate, Event};
+use std::net::SocketAddr;
+
+/// Requests before the measurement, so that the balancer knows its backends.
+const WARM_UP_REQUESTS: u32 = 5_000;
+/// Requests that are measured.
+const MEASURED_REQUESTS: u32 = 20_000;
+/// Entries that change one at a time.
+const CHANGED_ENTRIES: u32 = 5_000;
+/// After so many changed entries a request comes, so that the work of a change is not put off.
+const CHANGES_PER_REQUEST: usize = 4;
+/// The port of all backends.
+const BACKEND_PORT: u16 = 80;
+
+/// Why a point could not be run.
+#[derive(Debug, thiserror::Error)]
+pub enum BalancerPointError {
+    /// The library refused the settings or the list.
+    #[error(transparent)]
+    Document(#[from] DocumentError),
+    /// The list is no JSON.
+    #[error("the list: {0}")]
+    List(serde_json::Error),
+    /// The balancer refused the configuration.
+    #[error(transparent)]
+    Config(#[from] ConfigError),
+}
+
+/// What one seed gave, in microseconds.
+struct Times {
+    snapshot: f64,
+    request: f64,
+    changed_entry: f64,
+}
+
+/// How a time is spread over the seeds.
+struct Spread {
+    least: Option<f64>,
+    median: Option<f64>,
+    most: Option<f64>,
+}
+
+impl Spread {
+    fn of(times: &[Times], time: fn(&Times) -> f64) -> Spread {
+        let mut sorted: Vec<f64> = times.iter().map(time).collect();
+        sorted.sort_by(f64::total_cmp);
+        Spread {
+            least: sorted.first().copied(),
+            median: sorted.get(sorted.len() / 2).copied(),
+            most: sorted.last().copied(),
+        }
+    }
+}
+
+/// Runs a point: the median over the seeds, with the least and the most.
+pub fn run(point: &Point) -> Result<PointResult, BalancerPointError> {
+    let mut times = Vec::new();
+    for number in 0..u64::from(point.seeds) {
+        times.push(measure(point, point.seed + number)?);
+    }
+    let snapshot = Spread::of(&times, |times| times.snapshot);
+    let request = Spread::of(&times, |times| times.request);
+    let changed_entry = Spread::of(&times, |times| times.changed_entry);
+    let figures = vec![
+        Figure::new("whole_list_us", snapshot.median),
+        Figure::new("whole_list_least_us", snapshot.least),
+        Figure::new("whole_list_most_us", snapshot.most),
+        Figure::new("request_us", request.median),
+        Figure::new("request_least_us", request.least),
+        Figure::new("request_most_us", request.most),
+        Figure::new("changed_line_us", changed_entry.median),
+        Figure::new("changed_line_least_us", changed_entry.least),
+        Figure::new("changed_line_most_us", changed_entry.most),
+    ];
+    Ok(PointResult { label: point.label.clone(), size: 0.0, figures, checks: Vec::new() })
+}
+
+fn measure(point: &Point, seed: u64) -> Result<Times, BalancerPointError> {
+    let config = read_config(&proxy_settings(point, 0))?;
+    let backends = backends(point)?;
+    let mut host = Host::new(point, config, seed)?;
+    let snapshot =
+        Event::EndpointListChanged { update: EndpointListUpdate::Snapshot, backends: backends.clone() };
+    let snapshot_us = host.time_us(|host| host.handle(snapshot));
+    run_requests(&mut host, WARM_UP_REQUESTS);
+    let requests_us = host.time_us(|host| run_requests(host, MEASURED_REQUESTS));
+    let changes_us = measure_changes(&mut host, &backends);
+    Ok(Times {
+        snapshot: snapshot_us,
+        request: requests_us / f64::from(MEASURED_REQUESTS),
+        changed_entry: changes_us / f64::from(CHANGED_ENTRIES),
+    })
+}
+
+/// The backends of the point's list, as a proxy reads them.
+fn backends(point: &Point) -> Result<Vec<Backend>, BalancerPointError> {
+    let addresses: Vec<SocketAddr> =
+        (0..point.backends).map(|number| backend_address(number, BACKEND_PORT)).collect();
+    let snapshot = EndpointList::new(point, &addresses).response(None);
+    let document = serde_json::from_slice(&snapshot.body).map_err(BalancerPointError::List)?;
+    Ok(read_endpoint_list(&document)?)
+}
+
+fn run_requests(host: &mut Host, count: u32) {
+    for _ in 0..count {
+        host.run_request();
+    }
+}
+
+/// The time that all changed entries took, in microseconds. An entry changes when its backend begins to
+/// drain, and again when it is back: each time the traffic shares are computed anew.
+fn measure_changes(host: &mut Host, backends: &[Backend]) -> f64 {
+    let states = [BackendState::Draining, BackendState::Ready];
+    let mut total_us = 0.0;
+    for (number, backend) in backends.iter().cycle().take(CHANGED_ENTRIES as usize).enumerate() {
+        for state in states {
+            let changed = Backend { state, ..backend.clone() };
+            let delta =
+                Event::EndpointListChanged { update: EndpointListUpdate::Delta, backends: vec![changed] };
+            total_us += host.time_us(|host| host.handle(delta)) / states.len() as f64;
+        }
+        if number % CHANGES_PER_REQUEST == 0 {
+            host.run_request();
+        }
+    }
+    total_us
+}
--- a/scale/src/lib.rs
+++ b/scale/src/lib.rs
@@ -4,6 +4,7 @@
 #![warn(missing_docs)]
 
 pub mod backends;
+pub mod balancer_point;
 pub mod clients;
 pub mod counted_stream;
 pub mod discovery;
@@ -15,7 +16,6 @@
 pub mod local_runtime;
 pub mod locking;
 pub mod machine_limits;
-pub mod module;
 pub mod naming;
 pub mod plan;
 pub mod plan_file;
--- a/scale/src/main.rs
+++ b/scale/src/main.rs
@@ -4,7 +4,7 @@
 use clap::Parser;
 use scale_test::plan::{Kind, Plan};
 use scale_test::point_result::PointResult;
-use scale_test::{hollow_point, machine_limits, module, plan_file, real, report};
+use scale_test::{balancer_point, hollow_point, machine_limits, plan_file, real, report};
 use std::io::Write;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -86,7 +86,7 @@
     for (number, point) in plan.points.iter().enumerate() {
         let row = match &program {
             Some(program) => real::play(point, program, &folder).await?,
-            None if plan.kind == Kind::Balancer => module::play(point)?,
+            None if plan.kind == Kind::Balancer => balancer_point::run(point).map_err(|e| e.to_string())?,
             None => hollow_point::play(point).await?,
         };
         let row = PointResult { size: point.size(&plan.over).unwrap_or(0.0), ..row };
