--- a/scale/src/events.rs
+++ b/scale/src/events.rs
@@ -1,125 +1,183 @@
-//! What happens on a site while requests come: releases, outages and moves of discovery, returns.
+//! What happens to a fleet while requests come: releases of backends, outages and moves of discovery,
+//! restarts.
 
 use crate::backends::BackendFleet;
-use crate::discovery::{Discovery, DiscoveryBehavior};
+use crate::discovery::{Discovery, DiscoveryBehavior, DiscoveryError};
 use crate::endpoint_list::EndpointStatus;
 use crate::plan::{EventKind, PlannedEvent, Point};
+use crate::proxy_process::ProcessError;
 use std::net::SocketAddr;
+use std::ops::Range;
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
-use tokio::task::JoinSet;
+use tokio::task::{JoinError, JoinSet};
 use tokio::time::{sleep, sleep_until, Instant};
 
-/// Steps in which a change goes over the list.
-const STEP: Duration = Duration::from_millis(50);
-/// A backend of a release drains for so long before it goes ...
-const DRAINS: Duration = Duration::from_millis(2_000);
+/// The time between two updates of the list while entries change.
+const UPDATE_INTERVAL: Duration = Duration::from_millis(50);
+/// A backend of a release drains for this long before it leaves ...
+const DRAIN_TIME: Duration = Duration::from_millis(2_000);
 /// ... and starts again this long after it began to drain.
-const AWAY: Duration = Duration::from_millis(2_500);
+const RESTART_TIME: Duration = Duration::from_millis(2_500);
 
-/// A hook that may fail.
-pub type Hook<T> = Box<dyn Fn(T) -> Result<(), String>>;
+/// Why an event could not be run.
+#[derive(Debug, thiserror::Error)]
+pub enum EventError {
+    /// Its task panicked.
+    #[error("an event: {0}")]
+    Panicked(JoinError),
+    /// Discovery could not be relocated.
+    #[error(transparent)]
+    Discovery(#[from] DiscoveryError),
+    /// A proxy could not be signalled.
+    #[error(transparent)]
+    Process(#[from] ProcessError),
+    /// Proxies that are processes are not restarted.
+    #[error("processes do not return in this mode")]
+    RestartUnsupported,
+}
+
+/// What events do to the proxies of a fleet.
+pub trait ProxyControl {
+    /// Gives all proxies the new address of discovery.
+    fn discovery_relocated(&self, address: SocketAddr) -> Result<(), EventError>;
+    /// Ends all proxies and starts them again at once, without a list.
+    fn restart_all(&self) -> Result<(), EventError>;
+}
 
 /// What events act on.
-pub struct Stage {
-    /// The service that tells the list.
+pub struct EventTargets {
+    /// The discovery service.
     pub discovery: Rc<Discovery>,
     /// The backends.
-    pub fleet: Arc<BackendFleet>,
-    /// Tells all proxies that discovery has moved.
-    pub moved: Hook<SocketAddr>,
-    /// Ends all proxies and starts them again.
-    pub back: Hook<()>,
+    pub backends: Arc<BackendFleet>,
+    /// The proxies.
+    pub proxies: Box<dyn ProxyControl>,
 }
 
-/// Plays the events of a point, counted from now, to their end.
-pub async fn play(p: &Point, stage: Rc<Stage>) -> Result<(), String> {
+/// Runs the events of a point, counted from now, to their end.
+pub async fn run(point: &Point, targets: Rc<EventTargets>) -> Result<(), EventError> {
     let start = Instant::now();
     let mut running = JoinSet::new();
-    for event in p.events.clone() {
-        let (stage, all) = (stage.clone(), p.backends as usize);
+    for event in point.events.clone() {
+        let targets = targets.clone();
+        let backends = point.backends as usize;
         running.spawn_local(async move {
             sleep_until(start + Duration::from_secs_f64(event.at_s)).await;
-            happen(&event, &stage, all).await
+            run_event(&event, &targets, backends).await
         });
     }
     while let Some(ended) = running.join_next().await {
-        ended.map_err(|e| format!("an event: {e}"))??;
+        ended.map_err(EventError::Panicked)??;
     }
     Ok(())
 }
 
-async fn happen(event: &PlannedEvent, stage: &Stage, all: usize) -> Result<(), String> {
-    let lasts = Duration::from_secs_f64(event.for_s);
-    let lines = if event.lines == 0 { all } else { event.lines as usize };
+async fn run_event(event: &PlannedEvent, targets: &EventTargets, backends: usize) -> Result<(), EventError> {
+    let duration = Duration::from_secs_f64(event.for_s);
+    let released = if event.lines == 0 { backends } else { event.lines as usize };
     tracing::info!("{:?} for {} s", event.what, event.for_s);
     match event.what {
-        EventKind::Release => release(stage, lines, lasts).await,
-        EventKind::Refuse => trouble(stage, DiscoveryBehavior::Reject, lasts).await,
-        EventKind::Silence => trouble(stage, DiscoveryBehavior::Unresponsive, lasts).await,
-        EventKind::Down => trouble(stage, DiscoveryBehavior::Down, lasts).await,
-        EventKind::Reload => {
-            return (stage.moved)(stage.discovery.relocate().await.map_err(|e| e.to_string())?)
-        }
-        EventKind::Return => return (stage.back)(()),
+        EventKind::Release => release(targets, released, duration).await,
+        EventKind::Refuse => disturb_discovery(targets, DiscoveryBehavior::Reject, duration).await,
+        EventKind::Silence => disturb_discovery(targets, DiscoveryBehavior::Unresponsive, duration).await,
+        EventKind::Down => disturb_discovery(targets, DiscoveryBehavior::Down, duration).await,
+        EventKind::Reload => targets.proxies.discovery_relocated(targets.discovery.relocate().await?)?,
+        EventKind::Return => targets.proxies.restart_all()?,
     }
     Ok(())
 }
 
-async fn trouble(stage: &Stage, behavior: DiscoveryBehavior, lasts: Duration) {
-    stage.discovery.set_behavior(behavior).await;
-    sleep(lasts).await;
-    stage.discovery.set_behavior(DiscoveryBehavior::Serve).await;
+async fn disturb_discovery(targets: &EventTargets, behavior: DiscoveryBehavior, duration: Duration) {
+    targets.discovery.set_behavior(behavior).await;
+    sleep(duration).await;
+    targets.discovery.set_behavior(DiscoveryBehavior::Serve).await;
+}
+
+/// How many backends of a release have come to each step, in the order of their numbers.
+#[derive(Clone, Copy, Default)]
+struct ReleaseProgress {
+    drained: usize,
+    removed: usize,
+    restarted: usize,
 }
 
-/// Each backend drains, goes and starts again cold; all are through at the end of the time.
-async fn release(stage: &Stage, lines: usize, lasts: Duration) {
-    let (start, spread) = (Instant::now(), lasts.saturating_sub(AWAY));
-    let (mut drained, mut gone, mut back) = (0, 0, 0);
-    while back < lines {
-        sleep(STEP).await;
-        let past = start.elapsed();
-        // Backend i begins to drain at i / lines of the spread.
-        let due = |after: Duration| match past.checked_sub(after) {
-            None => 0,
-            Some(since) => {
-                let part = since.as_secs_f64() / spread.as_secs_f64();
-                ((part * lines as f64) as usize + 1).min(lines)
-            }
+impl ReleaseProgress {
+    /// The progress this long after the release began; the drains are spread evenly over `spread`.
+    fn at(elapsed: Duration, backends: usize, spread: Duration) -> ReleaseProgress {
+        let due_after = |delay: Duration| {
+            let Some(elapsed) = elapsed.checked_sub(delay) else { return 0 };
+            let part = elapsed.as_secs_f64() / spread.as_secs_f64();
+            ((part * backends as f64) as usize + 1).min(backends)
         };
-        let (now_drained, now_gone, now_back) = (due(Duration::ZERO), due(DRAINS), due(AWAY));
-        let started = unix_ms();
-        (drained..now_drained).for_each(|i| stage.fleet.drain(i));
-        (back..now_back).for_each(|i| stage.fleet.start(i));
-        stage.discovery.update_list(|register| {
-            (drained..now_drained).for_each(|i| register.set_status(i, EndpointStatus::Draining, 0));
-            (gone..now_gone).for_each(|i| register.set_status(i, EndpointStatus::Removed, 0));
-            (back..now_back).for_each(|i| register.set_status(i, EndpointStatus::Ready, started));
-        });
-        (drained, gone, back) = (now_drained, now_gone, now_back);
+        ReleaseProgress {
+            drained: due_after(Duration::ZERO),
+            removed: due_after(DRAIN_TIME),
+            restarted: due_after(RESTART_TIME),
+        }
+    }
+}
+
+/// Each backend drains, leaves and starts again, to warm up; all are done at the end of the time.
+async fn release(targets: &EventTargets, backends: usize, duration: Duration) {
+    let start = Instant::now();
+    let spread = duration.saturating_sub(RESTART_TIME);
+    let mut done = ReleaseProgress::default();
+    while done.restarted < backends {
+        sleep(UPDATE_INTERVAL).await;
+        let due = ReleaseProgress::at(start.elapsed(), backends, spread);
+        apply_release(targets, done, due);
+        done = due;
+    }
+}
+
+fn apply_release(targets: &EventTargets, done: ReleaseProgress, due: ReleaseProgress) {
+    let drained: Range<usize> = done.drained..due.drained;
+    let removed: Range<usize> = done.removed..due.removed;
+    let restarted: Range<usize> = done.restarted..due.restarted;
+    let started_at_ms = unix_ms();
+    for backend in drained.clone() {
+        targets.backends.drain(backend);
     }
+    for backend in restarted.clone() {
+        targets.backends.start(backend);
+    }
+    targets.discovery.update_list(|list| {
+        for backend in drained {
+            list.set_status(backend, EndpointStatus::Draining, 0);
+        }
+        for backend in removed {
+            list.set_status(backend, EndpointStatus::Removed, 0);
+        }
+        for backend in restarted {
+            list.set_status(backend, EndpointStatus::Ready, started_at_ms);
+        }
+    });
 }
 
-/// The time of the system's clock, as lists tell it.
-pub fn unix_ms() -> u64 {
+/// The system's clock, in Unix milliseconds.
+fn unix_ms() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
 }
 
-/// Changes lines at an even pace for a while; gives how many.
-pub async fn touch(discovery: &Discovery, p: &Point) -> u64 {
-    let (start, lasts) = (Instant::now(), Duration::from_secs_f64(p.change_s));
-    let mut done = 0_u64;
-    while start.elapsed() < lasts {
-        sleep(STEP).await;
-        let due = (start.elapsed().min(lasts).as_secs_f64() * p.changes_per_s) as u64;
-        if due > done {
-            let lines = u64::from(p.backends);
-            discovery.update_list(|register| {
-                (done..due).for_each(|i| register.toggle_weight((i % lines) as usize))
+/// Changes entries of the list at an even pace for the point's time; returns how many.
+pub async fn change_entries(discovery: &Discovery, point: &Point) -> u64 {
+    let start = Instant::now();
+    let duration = Duration::from_secs_f64(point.change_s);
+    let backends = u64::from(point.backends);
+    let mut changed = 0_u64;
+    while start.elapsed() < duration {
+        sleep(UPDATE_INTERVAL).await;
+        let due = (start.elapsed().min(duration).as_secs_f64() * point.changes_per_s) as u64;
+        if due > changed {
+            discovery.update_list(|list| {
+                for change in changed..due {
+                    list.toggle_weight((change % backends) as usize);
+                }
             });
-            done = due;
+            changed = due;
         }
     }
-    done
+    changed
 }
--- a/scale/src/main.rs
+++ b/scale/src/main.rs
@@ -4,7 +4,7 @@
 use clap::Parser;
 use scale_test::plan::{Kind, Plan};
 use scale_test::point_result::PointResult;
-use scale_test::{balancer_point, hollow_point, machine_limits, plan_file, real, report};
+use scale_test::{balancer_point, machine_limits, plan_file, real_point, report, simulated_point};
 use std::io::Write;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -80,14 +80,16 @@
 /// Plays the points one after the other; each is told as JSON as soon as it is done.
 async fn points(plan: &Plan, json: Option<&Path>) -> Result<Vec<PointResult>, String> {
     let mut sink = json.map(sink).transpose()?;
-    let program = (plan.kind == Kind::Real).then(|| real::program(plan.program.as_deref())).transpose()?;
-    let folder = real::Folder::make()?;
+    let program = (plan.kind == Kind::Real)
+        .then(|| real_point::find_program(plan.program.as_deref()).map_err(|e| e.to_string()))
+        .transpose()?;
+    let folder = real_point::WorkDirectory::create().map_err(|e| e.to_string())?;
     let mut rows = Vec::new();
     for (number, point) in plan.points.iter().enumerate() {
         let row = match &program {
-            Some(program) => real::play(point, program, &folder).await?,
+            Some(program) => real_point::run(point, program, &folder).await.map_err(|e| e.to_string())?,
             None if plan.kind == Kind::Balancer => balancer_point::run(point).map_err(|e| e.to_string())?,
-            None => hollow_point::play(point).await?,
+            None => simulated_point::run(point).await.map_err(|e| e.to_string())?,
         };
         let row = PointResult { size: point.size(&plan.over).unwrap_or(0.0), ..row };
         if let Some(sink) = &mut sink {
--- /dev/null
+++ b/scale/src/real_point/readiness.rs
@@ -0,0 +1,53 @@
+//! Waits until real proxies are ready.
+
+use super::processes::{ProxyProcesses, StartedProxy};
+use std::io;
+use std::net::SocketAddr;
+use std::time::Duration;
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::TcpStream;
+use tokio::time::{sleep, timeout};
+
+/// How often a proxy is asked.
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
+/// Asks whether a proxy is ready.
+const READINESS_REQUEST: &[u8] = b"GET /-/ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
+/// Length of the version and the status in an answer, in bytes.
+const STATUS_LENGTH: usize = 12;
+
+/// How long each proxy took from its start to its readiness; none for one that was not ready within the
+/// limit.
+pub(super) async fn wait_until_ready(proxies: &ProxyProcesses, limit: Duration) -> Vec<Option<Duration>> {
+    let mut tasks = Vec::new();
+    for proxy in proxies.started() {
+        tasks.push(tokio::task::spawn_local(ready_after(proxy, limit)));
+    }
+    let mut ready_after = Vec::new();
+    for task in tasks {
+        ready_after.push(task.await.ok().flatten());
+    }
+    ready_after
+}
+
+async fn ready_after(proxy: StartedProxy, limit: Duration) -> Option<Duration> {
+    let poll = async {
+        while !is_ready(proxy.address).await {
+            sleep(POLL_INTERVAL).await;
+        }
+    };
+    timeout(limit, poll).await.ok()?;
+    Some(proxy.started_at.elapsed())
+}
+
+async fn is_ready(address: SocketAddr) -> bool {
+    let status_line = ask_readiness(address).await;
+    status_line.is_ok_and(|status_line| status_line.ends_with(b" 200"))
+}
+
+async fn ask_readiness(address: SocketAddr) -> io::Result<[u8; STATUS_LENGTH]> {
+    let mut stream = TcpStream::connect(address).await?;
+    stream.write_all(READINESS_REQUEST).await?;
+    let mut status_line = [0; STATUS_LENGTH];
+    stream.read_exact(&mut status_line).await?;
+    Ok(status_line)
+}
