--- a/scale/src/lib.rs
+++ b/scale/src/lib.rs
@@ -1,5 +1,19 @@
-//! Plays the proxy, and many hollow proxies around the same decisions, at sizes that a test cannot: a plan's points
-//! give one slope, and each is told with what it cost.
+//! Runs proxies at sizes that a test cannot, and reports what each size cost. A plan's points are run with
+//! processes of the real proxy, with many simulated proxies around the same decisions, or with the bare
+//! decisions.
+//!
+//! The modules form layers; each uses only its own layer and those above it:
+//!
+//! | layer | modules |
+//! | --- | --- |
+//! | tools | `random`, `latency`, `local_runtime`, `locking`, `counted_stream` |
+//! | | `process_stats`, `timer_queue`, `naming` |
+//! | plans | `plan`, `plan_validation`, `plan_file`, `machine_limits` |
+//! | results | `point_result`, `linear_fit`, `report` |
+//! | the platform | `platform`, `site_settings`, `endpoint_list` |
+//! | parts of a fleet | `backends`, `discovery`, `clients`, `proxy_process`, `simulated_proxy` |
+//! | what happens to it | `events`, `phase` |
+//! | points, and plans of them | `real_point`, `simulated_point`, `balancer_point`, `runner` |
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -27,6 +41,7 @@
 pub mod random;
 pub mod real_point;
 pub mod report;
+pub mod runner;
 pub mod simulated_point;
 pub mod simulated_proxy;
 pub mod site_settings;
--- a/scale/tests/command.rs
+++ b/scale/tests/command.rs
@@ -3,23 +3,25 @@
 use std::process::{Command, Output, Stdio};
 
 /// Runs the command on a plan of this name and text.
-fn run(name: &str, text: &str, more: &[&str]) -> Output {
+fn run(name: &str, text: &str, options: &[&str]) -> Output {
     let file = std::env::temp_dir().join(format!("scale-{}-{name}.toml", std::process::id()));
     std::fs::write(&file, text).expect("written");
-    let output = Command::new(env!("CARGO_BIN_EXE_scale-test")).arg(&file).args(more).output().expect("run");
+    let output =
+        Command::new(env!("CARGO_BIN_EXE_scale-test")).arg(&file).args(options).output().expect("run");
     std::fs::remove_file(&file).expect("removed");
     output
 }
 
-const MODULE: &str = "name = \"m\"\nkind = \"module\"\nover = \"backends\"\nlongest_s = 60\n";
+/// The head of a plan of the bare decisions.
+const BALANCER_PLAN: &str = "name = \"m\"\nkind = \"module\"\nover = \"backends\"\nlongest_s = 60\n";
 
 #[test]
 fn a_bad_plan_ends_with_code_2_and_one_line_on_standard_error() {
-    let output = run("bad", &format!("{MODULE}[[points]]\nbackends = 8\nclasses = 0\n"), &[]);
+    let output = run("bad", &format!("{BALANCER_PLAN}[[points]]\nbackends = 8\nclasses = 0\n"), &[]);
     assert_eq!(output.status.code(), Some(2));
     let line = String::from_utf8_lossy(&output.stderr).into_owned();
     assert_eq!(line, "scale-test: points[0].classes: expected a whole number from 1 to 20000\n");
-    let over = run("over", &format!("{MODULE}[[points]]\nbackends = 8\nseeds = 100\n"), &[]);
+    let over = run("over", &format!("{BALANCER_PLAN}[[points]]\nbackends = 8\nseeds = 100\n"), &[]);
     assert_eq!(over.status.code(), Some(2));
     assert!(String::from_utf8_lossy(&over.stderr).starts_with("scale-test: longest_s: expected at least 100"));
 }
@@ -27,19 +29,19 @@
 #[test]
 fn results_go_out_as_lines_of_json() {
     let point = "[[points]]\nbackends = 8\nseeds = 1\nlabel = \"few\"\n";
-    let output = run("json", &format!("{MODULE}{point}"), &["--json", "-"]);
+    let output = run("json", &format!("{BALANCER_PLAN}{point}"), &["--json", "-"]);
     assert_eq!(output.status.code(), Some(0), "{}", String::from_utf8_lossy(&output.stderr));
     let line: serde_json::Value = serde_json::from_slice(&output.stdout).expect("one line of JSON");
-    let told =
+    let reported =
         (line["plan"].as_str(), line["size"].as_f64(), line["label"].as_str(), line["passed"].as_bool());
-    assert_eq!(told, (Some("m"), Some(8.0), Some("few"), Some(true)));
+    assert_eq!(reported, (Some("m"), Some(8.0), Some("few"), Some(true)));
     assert!(line["figures"]["request_us"].as_f64().is_some_and(|us| us > 0.0));
 }
 
 #[test]
-fn an_interrupt_ends_it_at_once_and_is_told() {
+fn an_interrupt_ends_it_at_once_and_is_reported() {
     let point = "[[points]]\nbackends = 8\nproxies = 3\nrest_s = 30\n";
-    let text = MODULE.replace("module", "hollow").replace("= 60", "= 100");
+    let text = BALANCER_PLAN.replace("module", "hollow").replace("= 60", "= 100");
     let file = std::env::temp_dir().join(format!("scale-{}-interrupt.toml", std::process::id()));
     std::fs::write(&file, format!("{text}{point}")).expect("written");
     let mut command = Command::new(env!("CARGO_BIN_EXE_scale-test"));
