--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -15,6 +15,3 @@
 pub use crate::wire::endpoint_list::{Endpoint, EndpointList};
 pub use client::DiscoveryError;
 pub use watch::{Watch, WatchSettings};
-
-/// Another name of [`Endpoint`].
-pub use crate::wire::endpoint_list::Endpoint as Target;
