--- a/scale/src/discovery/server.rs
+++ b/scale/src/discovery/server.rs
@@ -216,7 +216,7 @@
         let mut behavior = self.behavior.subscribe();
         tokio::select! {
             waited = timeout(wait, versions.wait_for(|version| *version != after)) => {
-                tracing::trace!("discovery: a watch ends, news {}", waited.is_ok());
+                tracing::trace!("discovery: a watch ends, changed {}", waited.is_ok());
             }
             _ = behavior.wait_for(|behavior| *behavior != DiscoveryBehavior::Serve) => {}
         }
--- a/scale/src/simulated_proxy/endpoint_watch.rs
+++ b/scale/src/simulated_proxy/endpoint_watch.rs
@@ -43,7 +43,7 @@
             now: Box::new(move || clock.now()),
             deliver: Box::new(move |update, backends| {
                 if sender.try_send(EndpointListChange { update, backends }).is_err() {
-                    tracing::error!("a proxy does not take its news");
+                    tracing::error!("a proxy does not take its list changes");
                 }
             }),
         });
--- a/src/bin/load-balancer-proxy/messages.rs
+++ b/src/bin/load-balancer-proxy/messages.rs
@@ -83,7 +83,7 @@
 pub struct SettingsReplacement {
     /// The settings from now on.
     pub settings: Arc<Settings>,
-    /// What the balancer is told of them.
+    /// What changes for the balancer.
     pub update: Box<ConfigUpdate>,
     /// Takes the settings replaced: to free the names of thousands of classes and tenants here would hold up
     /// requests.
--- a/src/wire/endpoint_list.rs
+++ b/src/wire/endpoint_list.rs
@@ -13,7 +13,7 @@
 /// An entry of the list.
 #[derive(Clone, Debug)]
 pub struct Endpoint {
-    /// What the balancer is told of it.
+    /// Its entry for the balancer.
     pub backend: Backend,
     /// Where this proxy reaches it.
     pub address: SocketAddr,
--- a/src/wire/object.rs
+++ b/src/wire/object.rs
@@ -1,5 +1,5 @@
 //! Typed access to the keys of a JSON object. An error names the key by its path in the whole document, and
-//! a missing key is told together with what it should hold.
+//! a missing key is reported together with what it should hold.
 
 use super::error::{WireError, WireFault};
 use crate::units::Micros;
--- a/src/wire/proxy_config.rs
+++ b/src/wire/proxy_config.rs
@@ -33,7 +33,7 @@
 pub struct ProxySettingsMessage {
     /// The settings of the balancer; its configuration is sound.
     pub balancer: SettingsMessage,
-    /// Sends to a draining backend must cease this soon after the news of it.
+    /// Requests to a draining backend must cease this soon after it was listed so.
     pub stop_sending_within: Option<Micros>,
     /// Requests that may be open at once.
     pub max_open_requests: u32,
--- a/tests/balancer/admission.rs
+++ b/tests/balancer/admission.rs
@@ -5,7 +5,7 @@
 
 /// Guards against backends that stay overloaded, and load shedding that goes on after prompt answers.
 #[test]
-fn load_is_shed_while_answers_are_late_and_let_in_again_when_they_are_brisk() {
+fn load_is_shed_while_answers_are_slow_and_admitted_again_when_they_are_prompt() {
     let mut host = host(Config { proxy_count: 300, ..Config::example() }, backends(60));
     let rejected = |host: &mut Host, duration_us: u64| {
         let ids: Vec<RequestId> = (0..60)
@@ -36,7 +36,7 @@
 
 /// Guards against an unloaded latency that stays at the first quick answer, so that good ones shed load.
 #[test]
-fn answers_well_within_the_aim_shed_nothing_after_a_first_quick_one() {
+fn answers_well_within_the_objective_shed_nothing_after_a_first_fast_one() {
     let mut host = host(Config { proxy_count: 100, ..Config::example() }, backends(60));
     serve(&mut host, 1, 0, |_| 20_000);
     let sent = serve(&mut host, 100, 0, |_| 240_000).len();
@@ -45,7 +45,7 @@
 
 /// Guards against lateness that shows only when the answers come, long after the objective.
 #[test]
-fn lateness_is_gauged_when_the_time_is_up() {
+fn a_slow_answer_counts_once_its_prompt_limit_is_over() {
     let mut host = host(Config { proxy_count: 300, ..Config::example() }, backends(600));
     serve(&mut host, 60, 0, |_| 30_000);
     let mut rejected = 0;
--- a/tests/balancer/concurrency_limit.rs
+++ b/tests/balancer/concurrency_limit.rs
@@ -15,7 +15,7 @@
 
 /// Guards against requests rejected beside idle backends, as many proxies share each backend's limit.
 #[test]
-fn with_many_proxies_no_backend_is_closed_and_the_pool_bounds_the_whole() {
+fn with_many_proxies_no_backend_is_closed_and_the_proxy_limit_bounds_the_whole() {
     // A limit of 4 at each of 40 backends is 0.5 for each of 320 proxies: a few may be in flight.
     let mut host = host(Config { proxy_count: 320, ..Config::example() }, backends(40));
     host.burst(2, 0, 900_000);
@@ -43,7 +43,7 @@
 
 /// Guards against a limit that takes requests on the network for load at their backend.
 #[test]
-fn requests_on_a_long_way_leave_room_for_others() {
+fn requests_on_a_long_way_leave_capacity_for_others() {
     // Ten requests' work fits into the time on the network to such a backend and back.
     let in_flight = |work_us: u64| {
         let mut host = host(Config { proxy_count: 1, ..Config::example() }, backends(2));
--- a/tests/balancer/deadlines.rs
+++ b/tests/balancer/deadlines.rs
@@ -5,7 +5,7 @@
 
 /// Guards against requests that wait past their deadline where no backend is known.
 #[test]
-fn an_empty_fleet_refuses_in_time() {
+fn an_empty_fleet_rejects_in_time() {
     let mut host =
         host(config_of(vec![class(Idempotency::Idempotent), class(Idempotency::NonIdempotent)]), Vec::new());
     let ids = [host.arrive(0, 700_000), host.arrive(1, 700_000)];
@@ -25,7 +25,7 @@
 
 /// Guards against stalled responses that fill the concurrency limit up to their deadline.
 #[test]
-fn an_attempt_stuck_on_a_living_backend_gives_its_room_back() {
+fn a_lost_attempt_at_a_responsive_backend_frees_its_capacity() {
     let mut host =
         host(Config { proxy_count: 1, ..config_of(vec![class(Idempotency::NonIdempotent)]) }, backends(2));
     serve(&mut host, 60, 0, |_| 10_000);
@@ -56,7 +56,7 @@
 
 /// Guards against a retry or an answer while a response is on its way to the client.
 #[test]
-fn a_stream_once_begun_is_left_alone() {
+fn a_streaming_answer_is_not_timed_out() {
     let mut host = host(config_of(vec![class(Idempotency::Idempotent)]), backends(2));
     let id = host.arrive(0, 300_000);
     host.start_stream(id, 0);
--- a/tests/balancer/fleet.rs
+++ b/tests/balancer/fleet.rs
@@ -46,7 +46,7 @@
 
 /// Guards against proxies that all keep connections to every backend, and backends that none uses.
 #[test]
-fn a_backend_is_used_by_few_of_many_proxies_and_gets_its_even_part_of_all() {
+fn a_backend_is_used_by_few_of_many_proxies_and_gets_its_equal_share() {
     let backends: Vec<Backend> = (0..60).map(|id| backend(id, id % 3, id % 2)).collect();
     let mut hosts = fleet(100, &backends);
     let all = backend_uses(hosts.iter_mut(), 60);
@@ -86,7 +86,7 @@
 
 /// Guards against a herd of proxies that resubscribe at one moment to a slow service.
 #[test]
-fn after_a_loss_a_large_fleet_spreads_its_calls_and_a_small_one_calls_soon() {
+fn after_a_lost_subscription_a_large_fleet_spreads_its_calls_and_a_small_one_calls_soon() {
     let many = resubscriptions(100);
     assert!(many.iter().all(|calls| *calls <= 8), "{many:?}");
     assert!(many[..20].iter().sum::<u32>() >= 20, "some resubscribe soon: {many:?}");
@@ -109,7 +109,7 @@
 
 /// Guards against requests that fail because every backend of a proxy's subset is ejected.
 #[test]
-fn a_window_whose_backends_are_all_ejected_lets_the_rest_of_the_kind_serve() {
+fn a_subset_whose_backends_are_all_ejected_lets_the_rest_of_the_kind_serve() {
     let mut host = fleet(200, &backends(40)).swap_remove(7);
     let subset: BTreeSet<u32> = serve(&mut host, 60, 0, |_| 20_000).into_iter().collect();
     assert!(subset.len() <= 5, "{subset:?}");
@@ -128,7 +128,7 @@
 
 /// Guards against one outlier that leaves its whole kind idle while requests to the other are rejected.
 #[test]
-fn one_ill_backend_does_not_make_its_kind_look_slow_to_the_fleet() {
+fn one_outlier_does_not_make_its_kind_look_slow_to_the_fleet() {
     // One proxy's split varies by chance, from a fifth to four fifths: the sum is what counts.
     let backends: Vec<Backend> = (0..12).map(|id| backend(id, 0, id % 2)).collect();
     let (mut to_slow_kind, mut all) = (0, 0);
@@ -166,7 +166,7 @@
 
 /// Guards against shares that become uneven in a fleet of more proxies than backends.
 #[test]
-fn a_fleet_far_over_a_hundred_still_gives_each_backend_its_even_part() {
+fn a_fleet_far_over_a_hundred_still_gives_each_backend_its_equal_share() {
     // Each proxy needs one backend at least: there are that many more proxies than backends.
     for proxies in [300, 1_000] {
         let all = backend_uses(fleet(proxies, &backends(60)).iter_mut(), 20);
@@ -212,7 +212,7 @@
 
 /// Guards against a fleet that overloads a warming backend, the only one with room beside full ones.
 #[test]
-fn a_cold_backend_is_not_pushed_over_by_a_fleet_of_any_size() {
+fn a_warming_backend_is_not_overloaded_by_a_fleet_of_any_size() {
     // Sixty backends that serve 50 a second each are sent two thirds of that, and from the moment in which
     // one starts again 4,000 a second.
     for proxies in [12, 100, 400, 1000] {
--- a/tests/balancer/fleet_growth.rs
+++ b/tests/balancer/fleet_growth.rs
@@ -151,7 +151,7 @@
 
 /// Guards against connections that grow with the fleet until they fill the tables of the backends.
 #[test]
-fn connections_made_and_held_grow_only_so_far_with_the_fleet() {
+fn connections_made_and_kept_grow_only_so_far_with_the_fleet() {
     for steps in [10, 90] {
         let (usual, large) = (mean(USUAL, steps), mean(LARGE, steps));
         println!("{steps} steps: {usual:?} at the usual size, {large:?} at the large one");
--- a/tests/balancer/fleet_slow_start.rs
+++ b/tests/balancer/fleet_slow_start.rs
@@ -248,7 +248,7 @@
 /// Guards against proxies that together overload a warming backend. `FALL_SEEDS` runs more seeds than the few
 /// that every change has to pass.
 #[test]
-fn no_fleet_pushes_a_cold_backend_over() {
+fn no_fleet_overloads_a_warming_backend() {
     let seeds = std::env::var("FALL_SEEDS").ok().and_then(|seeds| seeds.parse().ok()).unwrap_or(1);
     let worst = worst_of_all(&[3, 8, 20, 30, 300, 470], &[0.6, 0.9, 1.3], seeds);
     assert!(worst <= 1.0, "{worst}");
--- a/tests/balancer/halb.rs
+++ b/tests/balancer/halb.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_clamped_kind_leaves_and_the_rest_is_solved_anew() {
+fn a_clamped_kind_leaves_and_the_rest_is_solved_again() {
     // Of all three: roots 6, speeds 14, the third flow 1 - 8.5 / 6 < 0.
     // Of the first two: roots 5, speeds 13: 9 - 3 * 1.5 = 4.5 and 4 - 2 * 1.5 = 1.
     let three = [(1.0, 9.0), (1.0, 4.0), (1.0, 1.0)];
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn counts_weigh_and_may_be_parts() {
+fn backend_counts_weigh_and_may_be_fractions() {
     // roots 2 * 2 + 0.5 = 4.5, speeds 8.5: at 4 a second (8.5 - 4) / 4.5 = 1: flows 8 - 4 and 0.5 - 0.5.
     assert_close(halb_shares(&[(2.0, 4.0), (0.5, 1.0)], Some(4.0)), &[1.0, 0.0]);
     // At 6.25: (8.5 - 6.25) / 4.5 = 0.5: flows 8 - 2 and 0.5 - 0.25.
--- a/tests/balancer/outlier_detection.rs
+++ b/tests/balancer/outlier_detection.rs
@@ -28,7 +28,7 @@
 
 /// Guards against a failing backend that is not ejected, or never used again.
 #[test]
-fn an_erring_backend_is_ejected_and_comes_back_after_its_term() {
+fn a_failing_backend_is_ejected_and_comes_back_after_its_ejection_time() {
     let mut host = host(config_of(vec![class(Idempotency::Idempotent)]), backends(6));
     let ejected = eject_one(&mut host);
     assert!(!serve(&mut host, 40, 0, |_| 5_000).contains(&ejected), "used while ejected");
@@ -38,7 +38,7 @@
 
 /// Guards against one good answer that clears the record of a backend which mostly fails.
 #[test]
-fn a_backend_that_mostly_errs_is_tried_less_and_less() {
+fn a_backend_that_mostly_fails_is_ejected_for_longer_each_time() {
     let mut host = host(config_of(vec![class(Idempotency::NonIdempotent)]), backends(6));
     serve(&mut host, 60, 0, |_| 10_000);
     let (mut sent, mut errors) = (0, 0);
@@ -56,7 +56,7 @@
 
 /// Guards against the ejection of a backend whose connection table is full, and connects to it without end.
 #[test]
-fn one_refused_dial_shuts_no_backend_out_and_a_full_table_is_dialled_less_and_less() {
+fn one_refused_connection_ejects_no_backend_and_a_full_table_is_connected_to_less_and_less() {
     let mut host = host(config_of(vec![class(Idempotency::NonIdempotent)]), backends(4));
     serve(&mut host, 60, 0, |_| 10_000);
     let id = host.arrive(0, 900_000);
@@ -86,7 +86,7 @@
 
 /// Guards against connects to unreachable backends as soon as half of the fleet is ejected.
 #[test]
-fn with_half_of_the_fleet_ejected_those_that_cannot_be_reached_stay_out() {
+fn with_half_of_the_fleet_ejected_unreachable_backends_stay_ejected() {
     let mut host = host(config_of(vec![class(Idempotency::NonIdempotent)]), backends(6));
     serve(&mut host, 60, 0, |_| 10_000);
     let (mut connects, mut used_later) = (0, BTreeSet::new());
@@ -116,7 +116,7 @@
 
 /// Guards against the ejection of backends that fail no more often than all others.
 #[test]
-fn where_all_err_alike_none_is_shut_out_but_one_that_errs_far_more_is() {
+fn where_all_fail_alike_none_is_ejected_but_one_that_fails_far_more_is() {
     let mut host = host(config_of(vec![class(Idempotency::NonIdempotent)]), backends(9));
     let mut random = Pcg32::seed_from_u64(11);
     // Half a second of requests; the fourth backend has its own failure rate. Counts the use of each.
@@ -142,7 +142,7 @@
 
 /// Guards against an ejection for one reset connection, and none where all connections of a backend break.
 #[test]
-fn one_broken_connection_shuts_no_backend_out_but_a_dead_process_is() {
+fn one_broken_connection_ejects_no_backend_but_a_dead_process_is_ejected() {
     let mut host = host(config_of(vec![class(Idempotency::NonIdempotent)]), backends(4));
     serve(&mut host, 60, 0, |_| 10_000);
     let id = host.arrive(0, 900_000);
@@ -189,7 +189,7 @@
 
 /// Guards against all load on the one backend left where most fail.
 #[test]
-fn when_most_backends_err_they_are_used_after_all() {
+fn when_most_backends_fail_ejected_ones_are_used() {
     let mut host = host(config_of(vec![class(Idempotency::Idempotent)]), backends(4));
     serve(&mut host, 40, 0, |_| 10_000);
     for _ in 0..200 {
@@ -206,7 +206,7 @@
 
 /// Guards against an overloaded backend whose clients disconnect before their deadline, so that none fails.
 #[test]
-fn an_attempt_called_off_after_its_aim_counts_against_the_backend() {
+fn an_attempt_cancelled_after_its_objective_counts_against_the_backend() {
     let mut host = host(config_of(vec![class(Idempotency::NonIdempotent)]), backends(6));
     serve(&mut host, 60, 0, |_| 10_000);
     let id = host.arrive(0, 900_000);
--- a/tests/balancer/priority.rs
+++ b/tests/balancer/priority.rs
@@ -5,7 +5,7 @@
 
 /// Guards against client retries that are served before first requests and make everyone late.
 #[test]
-fn a_clients_repeat_waits_behind_first_tries() {
+fn a_client_retry_waits_behind_original_requests() {
     let mut host = host(Config { proxy_count: 1, ..Config::example() }, backends(1));
     let in_flight = host.burst(8, 0, 900_000);
     host.advance(5_000);
@@ -26,7 +26,7 @@
 
 /// Guards against one tenant over its quota that fills the concurrency limit for all others.
 #[test]
-fn traffic_beyond_a_quota_leaves_room_for_the_others() {
+fn traffic_past_a_quota_leaves_capacity_for_the_others() {
     let tenants = vec![Tenant { quota_per_second: 1.0 }, Tenant { quota_per_second: 1_000.0 }];
     let mut host = host(Config { proxy_count: 1, tenants, ..Config::example() }, backends(2));
     let flood: Vec<RequestId> = (0..30).map(|_| host.arrive_for(0, 900_000, Some(TenantId(0)))).collect();
@@ -38,7 +38,7 @@
 
 /// Guards against overload in which the requests of the least weight are served.
 #[test]
-fn in_overload_the_densest_worth_is_served() {
+fn in_overload_the_highest_priority_is_served() {
     let heavy = Class { priority_weight: 8.0, ..class(Idempotency::Idempotent) };
     let mut host = host(
         Config { proxy_count: 1, ..config_of(vec![class(Idempotency::Idempotent), heavy]) },
--- a/tests/balancer/reconfiguration.rs
+++ b/tests/balancer/reconfiguration.rs
@@ -62,7 +62,7 @@
 
 /// Guards against requests that are judged by the limits and objectives of a later configuration.
 #[test]
-fn a_request_in_hand_keeps_the_attempts_and_the_aim_that_it_came_with() {
+fn a_request_in_flight_keeps_the_attempts_and_the_objective_of_its_arrival() {
     for (before, after, attempts) in [(1, 3, 1), (3, 1, 3)] {
         let mut host = host(vec![class(Idempotency::Idempotent)]);
         host.reconfigure(Config { max_attempts: before, ..host.config.clone() });
@@ -90,7 +90,7 @@
 
 /// Guards against requests and attempts that outlive their class, or go by the class at its place.
 #[test]
-fn classes_may_leave_come_and_change_places_while_requests_of_them_are_in_hand() {
+fn classes_may_be_removed_added_and_renumbered_while_requests_of_them_are_in_flight() {
     let slow = Class { latency_objective: Micros(800_000), ..class(Idempotency::NonIdempotent) };
     let mut host = host(vec![class(Idempotency::Idempotent), slow.clone(), class(Idempotency::Idempotent)]);
     let of_removed_class = host.arrive(1, 900_000);
@@ -200,7 +200,7 @@
 
 /// Guards against a reconfiguration that forgets what a warming backend was sent, so that it is overloaded.
 #[test]
-fn what_a_cold_backend_was_sent_stays_counted() {
+fn what_a_warming_backend_was_sent_stays_counted() {
     let update = |host: &mut Host, entry| host.update_endpoints(EndpointListUpdate::Delta, vec![entry]);
     let reconfigure = |host: &mut Host, _| host.reconfigure(host.config.clone());
     let (without, with) = (sent_to_warming_backend(update), sent_to_warming_backend(reconfigure));
@@ -251,7 +251,7 @@
 
 /// Guards against a proxy that keeps its subset after the proxy count or its proxy index has changed.
 #[test]
-fn the_size_of_the_fleet_and_the_place_in_it_come_into_force() {
+fn the_proxy_count_and_index_come_into_force() {
     let used = |host: &mut Host| {
         let chosen = serve(host, 60, 0, |_| 20_000);
         chosen.into_iter().collect::<BTreeSet<u32>>()
@@ -270,7 +270,7 @@
 
 /// Guards against load shedding that stays for ever once a fleet is too small for it to change.
 #[test]
-fn a_fleet_that_shrinks_to_few_lets_all_in_again() {
+fn a_fleet_that_shrinks_to_few_admits_all_again() {
     let mut host = Host::new(Config { proxy_count: 100, ..Config::example() }, 6);
     host.update_endpoints(EndpointListUpdate::Snapshot, backends(20));
     for _ in 0..200 {
@@ -287,7 +287,7 @@
 
 /// Guards against a subscription that is renewed by the interval of an old configuration.
 #[test]
-fn how_often_discovery_must_be_asked_comes_into_force() {
+fn the_poll_interval_comes_into_force() {
     let slow = Config { discovery: DiscoveryMode::Subscribe(Micros(20_000_000)), ..Config::example() };
     let mut host = Host::new(slow.clone(), 6);
     host.update_endpoints(EndpointListUpdate::Cached, vec![backend(0, 0, 0)]);
--- a/tests/balancer/retry.rs
+++ b/tests/balancer/retry.rs
@@ -5,7 +5,7 @@
 
 /// Guards against requests lost on an unresponsive backend, and hedged requests for merely slow ones.
 #[test]
-fn a_silent_backend_gets_nothing_new_and_its_requests_a_copy() {
+fn an_unresponsive_backend_gets_nothing_new_and_its_requests_are_hedged() {
     let mut host = host(config_of(vec![class(Idempotency::Idempotent)]), backends(6));
     serve(&mut host, 100, 0, |_| 10_000);
     let id = host.arrive(0, 900_000);
@@ -26,7 +26,7 @@
 
 /// Guards against two attempts at once where hedging is not allowed.
 #[test]
-fn where_no_copy_is_allowed_the_lost_attempt_is_called_back_first() {
+fn where_hedging_is_not_allowed_the_lost_attempt_is_cancelled_first() {
     let config = Config { hedging_allowed: false, ..config_of(vec![class(Idempotency::Idempotent)]) };
     let mut host = host(config, backends(6));
     serve(&mut host, 100, 0, |_| 10_000);
@@ -39,7 +39,7 @@
 
 /// Guards against a retry of what may have been executed, and a failure of what was not.
 #[test]
-fn an_unsafe_request_that_may_have_run_is_failed_and_one_that_never_ran_is_sent_again() {
+fn a_non_idempotent_request_that_may_have_been_executed_is_failed_and_one_that_was_not_is_retried() {
     let mut host = host(config_of(vec![class(Idempotency::NonIdempotent)]), backends(6));
     serve(&mut host, 60, 0, |_| 10_000);
     let id = host.arrive(0, 900_000);
@@ -52,7 +52,7 @@
 
 /// Guards against a keyed retry that other backends than the first would execute again.
 #[test]
-fn a_keyed_repeat_stays_in_its_zone_and_window() {
+fn a_retry_with_a_key_stays_in_its_zone_and_window() {
     let keyed = class(Idempotency::Keyed { scope: IdempotencyScope::Zone, window: Micros(200_000) });
     let mut host = host(config_of(vec![keyed]), (0..6).map(|id| backend(id, id % 2, 0)).collect());
     serve(&mut host, 60, 0, |_| 10_000);
@@ -102,7 +102,7 @@
 
 /// Guards against hedged requests for all that an ejected backend may well answer.
 #[test]
-fn what_an_ejected_backend_still_works_on_gets_no_copy() {
+fn what_an_ejected_backend_still_works_on_is_not_hedged() {
     let mut host =
         host(Config { proxy_count: 1, ..config_of(vec![class(Idempotency::Idempotent)]) }, backends(2));
     serve(&mut host, 60, 0, |_| 10_000);
--- a/tests/balancer/selection.rs
+++ b/tests/balancer/selection.rs
@@ -5,7 +5,7 @@
 
 /// Guards against a backend that is preferred among equals.
 #[test]
-fn inside_a_kind_the_draw_is_even() {
+fn inside_a_kind_the_draw_is_uniform() {
     let mut host = host(Config { proxy_count: 1, ..Config::example() }, backends(4));
     let chosen = serve(&mut host, 800, 0, |_| 20_000);
     for id in 0..4 {
@@ -16,7 +16,7 @@
 
 /// Guards against load on a backend that only its live weight shows to be overloaded.
 #[test]
-fn a_crowded_backend_is_drawn_less_where_weights_are_live() {
+fn a_loaded_backend_is_drawn_less_where_weights_are_live() {
     let count = |live_weights: bool| {
         let mut host = host(Config { live_weights, ..Config::example() }, backends(4));
         serve(&mut host, 20, 0, |_| 10_000);
--- a/tests/balancer/slow_start.rs
+++ b/tests/balancer/slow_start.rs
@@ -5,7 +5,7 @@
 
 /// Guards against a warming backend that is sent more than it can bear inside the overload window.
 #[test]
-fn a_cold_backend_gets_less_than_its_budget() {
+fn a_warming_backend_gets_less_than_its_budget() {
     let config = Config {
         proxy_count: 1,
         slow_start_initial_fraction: 0.1,
@@ -24,7 +24,7 @@
 
 /// Guards against a burst to warming backends that each proxy alone would take for harmless.
 #[test]
-fn a_burst_cannot_push_a_cold_backend_over() {
+fn a_burst_cannot_overload_a_warming_backend() {
     let config = Config {
         proxy_count: 3,
         slow_start_initial_fraction: 0.1,
@@ -54,7 +54,7 @@
 
 /// Guards against a warming backend that is preferred because the live weights of all warm ones are low.
 #[test]
-fn many_proxies_do_not_push_an_empty_cold_backend_over_beside_crowded_ones() {
+fn many_proxies_do_not_overload_an_idle_warming_backend_beside_loaded_ones() {
     let duration = Micros(1_000_000_000);
     let config = Config {
         proxy_count: 126,
--- a/tests/balancer/source_layout.rs
+++ b/tests/balancer/source_layout.rs
@@ -36,7 +36,7 @@
 
 /// Guards against modules that outgrow a review, and files that the deploy file lacks.
 #[test]
-fn the_decision_module_stays_reviewable() {
+fn the_balancer_stays_reviewable() {
     let files = balancer_files();
     assert!(files.len() > 1, "{files:?}");
     for file in &files {
--- a/tests/balancer/subscription.rs
+++ b/tests/balancer/subscription.rs
@@ -5,7 +5,7 @@
 
 /// Guards against a subscription that is not renewed after a loss, or is renewed without one.
 #[test]
-fn discovery_is_followed_at_once_and_again_after_a_loss() {
+fn discovery_is_subscribed_to_at_once_and_again_after_a_loss() {
     let config = Config { discovery: DiscoveryMode::Subscribe(Micros(10_000_000)), ..Config::example() };
     let mut host = Host::new(config, 3);
     host.update_endpoints(EndpointListUpdate::Cached, backends(2));
--- a/tests/balancer/zone_preference.rs
+++ b/tests/balancer/zone_preference.rs
@@ -23,7 +23,7 @@
 
 /// Guards against an overloaded zone with too few backends.
 #[test]
-fn a_zone_short_of_backends_sends_its_surplus_out() {
+fn a_zone_short_of_backends_sends_its_excess_to_others() {
     // The local zone has one of seven backends, and a third of the traffic: 3/7 of that may stay.
     let config = Config { cross_zone_cost: 0.05, ..Config::example() };
     let backends = (0..7).map(|id| backend(id, if id == 0 { 0 } else { 1 + id % 2 }, 0)).collect();
--- a/tests/discovery/start_times.rs
+++ b/tests/discovery/start_times.rs
@@ -31,7 +31,7 @@
 
 /// Guards against a new backend that passes for warm because its start time is by another clock.
 #[test]
-fn news_started_no_longer_ago_than_the_list_without_it() {
+fn a_new_backend_started_no_longer_ago_than_the_list_without_it() {
     for clock in CLOCKS {
         for is_snapshot in [true, false] {
             let mut start_times = StartTimes::default();
@@ -54,7 +54,7 @@
 
 /// Guards against ages of a first list that rest on a wall clock which may be wrong.
 #[test]
-fn a_first_list_tells_only_how_much_longer_ago_the_others_started_than_the_last() {
+fn a_first_list_bounds_only_how_much_longer_ago_the_others_started_than_the_last() {
     for clock in CLOCKS {
         let mut start_times = StartTimes::default();
         let endpoints =
@@ -68,7 +68,7 @@
 
 /// Guards against start times that are placed later than the quickest update shows.
 #[test]
-fn starts_are_placed_by_the_quickest_news() {
+fn starts_are_placed_by_the_fastest_update() {
     for clock in CLOCKS {
         let mut start_times = StartTimes::default();
         ages(&mut start_times, 0, true, vec![endpoint(1, 0)]);
@@ -79,7 +79,7 @@
 
 /// Guards against start times of removed backends that stay, in memory and for their successors.
 #[test]
-fn a_backend_that_is_gone_is_forgotten() {
+fn a_removed_backend_is_forgotten() {
     let mut start_times = StartTimes::default();
     ages(&mut start_times, 0, true, vec![endpoint(1, 0), endpoint(2, 900)]);
     let removed = |mut endpoint: Endpoint| {
--- a/tests/discovery/watch.rs
+++ b/tests/discovery/watch.rs
@@ -72,7 +72,7 @@
 
 /// Guards against a resubscription during a call that is kept, and skips the backoff after its failure.
 #[tokio::test]
-async fn a_wish_repeated_while_a_call_is_out_is_not_kept_for_after_it() {
+async fn a_resubscription_during_a_call_is_not_kept_for_after_it() {
     let scenario = async {
         let service = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let mut watch = start_watch(service.local_addr().expect("an address"));
@@ -92,7 +92,7 @@
 
 /// Guards against a backoff that outlasts a move of discovery, or a call for changes from the new one.
 #[tokio::test]
-async fn a_move_ends_the_wait_after_a_refused_call_and_asks_for_the_whole_list() {
+async fn a_move_ends_the_wait_after_a_rejected_call_and_calls_for_a_snapshot() {
     let scenario = async {
         let old = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let new = TcpListener::bind("127.0.0.1:0").await.expect("a port");
@@ -117,7 +117,7 @@
 
 /// Guards against a restarted service whose versions begin anew, and whose deltas lack what changed before.
 #[tokio::test]
-async fn a_version_that_counts_from_anew_brings_a_call_for_the_whole_list() {
+async fn a_version_that_went_back_brings_a_call_for_a_snapshot() {
     let scenario = async {
         let service = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let mut watch = start_watch(service.local_addr().expect("an address"));
@@ -141,7 +141,7 @@
 
 /// Guards against a wait for a connection that is as long as that for an update, where the network is cut.
 #[tokio::test]
-async fn a_connection_that_does_not_come_up_fails_the_call_soon() {
+async fn a_connection_that_is_not_established_fails_the_call_soon() {
     let scenario = async {
         let socket = TcpSocket::new_v4().expect("a socket");
         socket.bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
--- a/tests/proxy/backend_answers.rs
+++ b/tests/proxy/backend_answers.rs
@@ -42,7 +42,7 @@
 
 /// Guards against a rejection without effect that passes for a failure.
 #[test]
-fn what_never_ran_is_sent_again() {
+fn what_was_never_executed_is_retried() {
     let unavailable =
         || Reply::Send("HTTP/1.1 503 x\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n".into());
     assert_eq!(outcome_of(unavailable, "pay"), Outcome { status: 200, attempts: 2 });
@@ -52,7 +52,7 @@
 
 /// Guards against a broken answer that passes for a rejection: a request that may have run would run again.
 #[test]
-fn what_may_have_run_is_not_sent_again() {
+fn what_may_have_been_executed_is_not_retried() {
     let cases: [fn() -> Reply; 6] = [
         || Reply::Send("HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n".into()),
         || Reply::Send("HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n".into()),
@@ -68,7 +68,7 @@
 
 /// Guards against the ejection of a backend for one malformed answer, though it serves all other requests.
 #[test]
-fn an_unreadable_answer_does_not_shut_its_backend_out() {
+fn a_malformed_answer_does_not_eject_its_backend() {
     let malformed = [
         "HTTP/1.1 2x0 OK\r\nContent-Length: 1\r\n\r\nx".to_string(),
         "HTTP/1.1 200 OK\r\nno colon here\r\nContent-Length: 1\r\n\r\nx".into(),
@@ -99,7 +99,7 @@
 
 /// Guards against a refused connection that passes for a request that may have run.
 #[test]
-fn a_refused_connection_proves_that_nothing_ran() {
+fn a_refused_connection_proves_that_nothing_was_executed() {
     let backend = Backend::start(|_| ok_response("served"));
     let discovery = Discovery::start();
     let endpoints =
--- a/tests/proxy/capacity.rs
+++ b/tests/proxy/capacity.rs
@@ -9,7 +9,7 @@
 
 /// Guards against idle clients that keep every new one out.
 #[test]
-fn with_its_sockets_taken_a_new_client_still_gets_in() {
+fn at_capacity_a_new_client_is_still_accepted() {
     let backend = Backend::start(|_| ok_response("x"));
     let discovery = Discovery::start();
     let mut config = config(discovery.address, &[endpoint("a", backend.address, "ready", 0)]);
@@ -29,7 +29,7 @@
 
 /// Guards against requests that wait for a slot while idle connections to other backends take them all.
 #[test]
-fn with_its_sockets_taken_by_idle_connections_requests_that_come_at_once_find_places() {
+fn with_all_sockets_held_by_idle_connections_requests_that_arrive_at_once_are_served() {
     let backends: Vec<Backend> = (0..30).map(|_| Backend::start(|_| ok_response("x"))).collect();
     let endpoints = ready_endpoints(backends.iter());
     let discovery = Discovery::start();
@@ -55,7 +55,7 @@
 
 /// Guards against peers without a whole request that hold their slots until they close by themselves.
 #[test]
-fn silent_and_stalling_peers_are_let_go_and_keep_nobody_out() {
+fn silent_and_stalling_peers_are_closed_and_keep_nobody_out() {
     let backend = Backend::start(|_| ok_response("x"));
     let discovery = Discovery::start();
     let mut config = config(discovery.address, &[endpoint("a", backend.address, "ready", 0)]);
@@ -83,7 +83,7 @@
 
 /// Guards against a proxy that ends, or stops accepting, once it has run out of descriptors.
 #[test]
-fn the_proxy_outlives_a_want_of_descriptors() {
+fn the_proxy_outlives_exhausted_descriptors() {
     let backend = Backend::start(|_| ok_response("x"));
     let discovery = Discovery::start();
     let config = config(discovery.address, &[endpoint("a", backend.address, "ready", 0)]);
--- a/tests/proxy/client_disconnects.rs
+++ b/tests/proxy/client_disconnects.rs
@@ -10,7 +10,7 @@
 
 /// Guards against an attempt that goes on after its client has disconnected.
 #[test]
-fn a_client_that_leaves_ends_its_attempt() {
+fn a_client_that_disconnects_ends_its_attempt() {
     let backend = Backend::start(|_| Reply::NoResponse);
     let (proxy, _discovery) = proxy_for(&[("a", &backend)]);
     let mut client = Client::open(proxy.address);
@@ -22,7 +22,7 @@
 
 /// Guards against unread bytes that hide the end of a connection: its request would stay queued and be sent.
 #[test]
-fn a_client_that_leaves_is_noticed_whatever_it_sent_before() {
+fn a_disconnected_client_is_noticed_whatever_it_sent_before() {
     let (read, pay) = (request("read", 60_000), request("pay", 60_000));
     let extra_bytes = [String::new(), "GET /re".into(), read, "x".repeat(8 << 10), "x".repeat(1 << 20)];
     for extra in &extra_bytes {
@@ -56,7 +56,7 @@
 
 /// Guards against an attempt that is written to a late connection after its client has disconnected.
 #[test]
-fn an_attempt_not_yet_begun_is_not_written_once_its_client_has_left() {
+fn an_attempt_not_yet_begun_is_not_written_once_its_client_has_disconnected() {
     for can_cancel in [true, false] {
         let (slow_backend, discovery) = (SlowAcceptBackend::start(), Discovery::start());
         let config =
@@ -108,7 +108,7 @@
 
 /// Guards against queued requests that are sent though their clients have disconnected.
 #[test]
-fn held_requests_of_clients_that_left_are_never_sent() {
+fn queued_requests_of_disconnected_clients_are_never_sent() {
     for is_shutting_down in [false, true] {
         let (backend, discovery) = (Backend::start(|_| ok_response("x")), Discovery::start());
         let config = config(discovery.address, &[endpoint("a", backend.address, "draining", 0)]);
@@ -134,7 +134,7 @@
 
 /// Guards against retries that are written to late connections after their clients have disconnected.
 #[test]
-fn further_attempts_of_clients_that_left_while_they_dial_are_never_written() {
+fn retries_of_clients_that_disconnect_during_the_connect_are_never_written() {
     for (is_shutting_down, can_cancel) in [(false, true), (false, false), (true, true), (true, false)] {
         let unprocessed =
             || Reply::Send("HTTP/1.1 503 x\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n".into());
--- a/tests/proxy/connections.rs
+++ b/tests/proxy/connections.rs
@@ -24,7 +24,7 @@
 
 /// Guards against connections that carry two requests at once, or stay open long after their last request.
 #[test]
-fn connections_are_kept_and_carry_one_request_at_a_time() {
+fn connections_are_reused_and_carry_one_request_at_a_time() {
     let backend = Backend::start(|message| {
         if message.start_line.contains("slow") {
             std::thread::sleep(Duration::from_millis(500));
--- a/tests/proxy/deadlines.rs
+++ b/tests/proxy/deadlines.rs
@@ -8,7 +8,7 @@
 
 /// Guards against deadlines that the balancer misses, also where less time is left than a tick.
 #[test]
-fn a_deadline_brings_one_answer_from_the_module() {
+fn a_deadline_brings_one_answer_from_the_balancer() {
     let backend = Backend::start(|_| Reply::NoResponse);
     let (proxy, _discovery) = proxy_for(&[("a", &backend)]);
     assert_eq!(send_request(&proxy, &request("pay", 500)).status(), 502);
@@ -22,7 +22,7 @@
 
 /// Guards against a rejection that comes late or without Retry-After.
 #[test]
-fn a_refusal_is_given_at_once_and_says_when_to_come_back() {
+fn a_rejection_is_given_at_once_with_retry_after() {
     let (discovery, backend) = (Discovery::start(), Backend::start(|_| ok_response("x")));
     let proxy =
         ProxyProcess::spawn(&config(discovery.address, &[endpoint("a", backend.address, "draining", 0)]));
@@ -36,7 +36,7 @@
 
 /// Guards against a retry of a keyed request whose connection comes up after the idempotency window.
 #[test]
-fn a_repeat_that_dials_past_its_window_is_not_written() {
+fn a_retry_that_connects_past_its_idempotency_window_is_not_written() {
     let (slow_backend, discovery) = (SlowAcceptBackend::start(), Discovery::start());
     let respond = |message: &Message| match message.start_line.contains("/vote/") {
         true => Reply::Send("HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n".into()),
--- a/tests/proxy/discovery_lists.rs
+++ b/tests/proxy/discovery_lists.rs
@@ -9,7 +9,7 @@
 
 /// Guards against requests to a draining or removed backend, and connections to it that stay open.
 #[test]
-fn a_backend_that_drains_or_is_gone_gets_nothing_new() {
+fn a_draining_or_removed_backend_gets_nothing_new() {
     let (backend_a, backend_b) = (Backend::start(|_| ok_response("a")), Backend::start(|_| ok_response("b")));
     let (proxy, discovery) = proxy_for(&[("a", &backend_a), ("b", &backend_b)]);
     wait_until("both served", || {
@@ -42,7 +42,7 @@
 
 /// Guards against a malformed list that comes into force in part, replaces the list held or ends the watch.
 #[test]
-fn a_list_that_fails_to_come_is_refused_whole_and_the_old_one_stays() {
+fn a_list_that_is_cut_off_is_rejected_whole_and_the_old_one_stays() {
     for mode in ["automatic", "subscribe"] {
         let (backend, unlisted) =
             (Backend::start(|_| ok_response("x")), Backend::start(|_| ok_response("stranger")));
@@ -88,7 +88,7 @@
 
 /// Guards against lists that are lost because of their indentation, framing or header names.
 #[test]
-fn a_list_is_taken_in_every_form_that_http_gives_it() {
+fn a_list_is_accepted_in_every_form_that_http_gives_it() {
     let backend = Backend::start(|_| ok_response("x"));
     let discovery = Discovery::start();
     let draining = endpoint("a", refusing_address(), "draining", 0);
@@ -126,7 +126,7 @@
 
 /// Guards against a watch that waits for ever for a discovery that accepts calls and never answers.
 #[test]
-fn a_silent_agent_does_not_wedge_the_watch() {
+fn an_unresponsive_agent_does_not_stop_the_watch() {
     let backend = Backend::start(|_| ok_response("x"));
     let (proxy, discovery) = proxy_for(&[("a", &backend)]);
     wait_until("a second call after the first was given up", || discovery.call_count() >= 2);
@@ -136,7 +136,7 @@
 
 /// Guards against a lost call that keeps the proxy from learning of a drain for longer than the rules allow.
 #[test]
-fn a_call_lost_by_the_agent_of_a_pushed_list_is_made_again_in_time() {
+fn a_call_lost_by_the_agent_of_a_pushed_list_is_repeated_in_time() {
     let backend = Backend::start(|_| ok_response("x"));
     let (_proxy, discovery) = proxy_for(&[("a", &backend)]);
     wait_until("the watch", || discovery.call_count() > 0);
@@ -151,7 +151,7 @@
 
 /// Guards against a watch that does not begin again after a failure where the list has to be polled.
 #[test]
-fn a_subscription_is_asked_for_by_the_module() {
+fn a_subscription_is_asked_for_by_the_balancer() {
     let backend = Backend::start(|_| ok_response("x"));
     let discovery = Discovery::start();
     let mut config = config(discovery.address, &[endpoint("a", refusing_address(), "draining", 0)]);
@@ -166,7 +166,7 @@
 
 /// Guards against waits of all proxies that end together, so that the last learns of a drain too late.
 #[test]
-fn the_proxies_of_a_fleet_do_not_all_wait_equally_long_for_news() {
+fn the_proxies_of_a_fleet_do_not_all_wait_equally_long_for_changes() {
     const PROXIES: u64 = 4;
     let waits: Vec<u64> = (0..PROXIES)
         .map(|proxy_index| {
--- a/tests/proxy/forwarding.rs
+++ b/tests/proxy/forwarding.rs
@@ -4,7 +4,7 @@
 
 /// Guards against a request or an answer that the proxy changes on its way.
 #[test]
-fn a_request_goes_on_unchanged_and_so_does_its_answer() {
+fn a_request_is_forwarded_unchanged_and_so_is_its_answer() {
     let backend = Backend::start(|_| ok_response("the answer"));
     let (proxy, _discovery) = proxy_for(&[("a", &backend)]);
     let answer = send_request(&proxy, &request("vote", 7000));
--- a/tests/proxy/graceful_shutdown.rs
+++ b/tests/proxy/graceful_shutdown.rs
@@ -9,7 +9,7 @@
 
 /// Guards against requests in flight that are broken off, and idle connections that delay the end.
 #[test]
-fn sigterm_finishes_what_was_taken_and_ends_well() {
+fn sigterm_finishes_what_was_received_and_exits_with_success() {
     let backend = Backend::start(|message| {
         if message.start_line.contains("slow") {
             std::thread::sleep(Duration::from_millis(1500));
@@ -64,7 +64,7 @@
 
 /// Guards against answers that a stalled process gives only after SIGKILL would have come.
 #[test]
-fn a_process_that_is_held_up_brings_every_answer_before_the_kill_too() {
+fn a_stalled_process_brings_every_answer_before_the_kill_too() {
     const STALL: Duration = Duration::from_millis(150);
     let backend = Backend::start(|_| Reply::NoResponse);
     let discovery = Discovery::start();
--- a/tests/proxy/idle_clients.rs
+++ b/tests/proxy/idle_clients.rs
@@ -43,7 +43,7 @@
 
 /// Guards against idle clients that keep out calls of discovery, connections to backends, and requests.
 #[test]
-fn a_crowd_of_idle_clients_keeps_out_neither_news_nor_backends_nor_requests() {
+fn many_idle_clients_keep_out_neither_list_changes_nor_backends_nor_requests() {
     let backend = Backend::start(|_| ok_response("x"));
     let address = refusing_address();
     let reserved_port = ReservedPort::bind();
--- a/tests/proxy/reload/changed_settings.rs
+++ b/tests/proxy/reload/changed_settings.rs
@@ -58,7 +58,7 @@
 
 /// Guards against a proxy that keeps its subset after the proxy count or its proxy index has changed.
 #[test]
-fn the_size_of_the_fleet_and_the_place_in_it_come_into_force() {
+fn the_proxy_count_and_index_come_into_force() {
     let backends: Vec<Backend> = (0..30).map(|_| Backend::start(|_| ok_response("x"))).collect();
     let ReloadableProxy { proxy, mut config, .. } =
         start_reloadable_proxy(&backends.iter().collect::<Vec<_>>());
@@ -84,7 +84,7 @@
 
 /// Guards against calls for a pushed list that go on waiting for the time of the old settings.
 #[test]
-fn the_time_for_ceasing_to_send_comes_into_force() {
+fn the_drain_notice_limit_comes_into_force() {
     let backend = Backend::start(|_| ok_response("x"));
     let ReloadableProxy { proxy, discovery, mut config } = start_reloadable_proxy(&[&backend]);
     config["settings"]["rules"]["stop_sending_within_us"] = json!(3_000_000);
--- a/tests/proxy/reload/discovery_address.rs
+++ b/tests/proxy/reload/discovery_address.rs
@@ -52,7 +52,7 @@
 
 /// Guards against a proxy that waits its turn in the fleet to call an unresponsive discovery again.
 #[test]
-fn a_silent_discovery_is_asked_again_at_once_for_the_whole_list() {
+fn an_unresponsive_discovery_is_called_again_at_once_for_a_snapshot() {
     let backend = Backend::start(|_| ok_response("x"));
     let (old, new) = (Discovery::start(), Discovery::start());
     let mut config = config(old.address, &[endpoint("a", backend.address, "ready", 0)]);
--- a/tests/proxy/resource_exhaustion.rs
+++ b/tests/proxy/resource_exhaustion.rs
@@ -39,7 +39,7 @@
 
 /// Guards against a failed accept that delays everyone behind it, or ends the last look at the queue.
 #[test]
-fn clients_that_come_while_the_proxy_ends_are_answered_though_accepts_fail() {
+fn clients_that_connect_during_the_shutdown_are_answered_though_accepts_fail() {
     for percent in [20, 50, 80] {
         assert_eq!(unanswered_during_shutdown(percent), 0, "{percent} in a hundred accepts fail");
     }
@@ -47,7 +47,7 @@
 
 /// Guards against exhaustion on this machine that counts against the backend or uses up an attempt.
 #[test]
-fn connects_that_fail_for_want_of_means_are_made_again() {
+fn connects_that_fail_for_lack_of_resources_are_repeated() {
     let closing =
         || Backend::start(|_| Reply::SendAndClose("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx".into()));
     let (backend, discovery, faults) = (closing(), Discovery::start(), Faults::none());
@@ -67,7 +67,7 @@
 
 /// Guards against a call of discovery that finds no socket and waits for the backoff of the fleet.
 #[test]
-fn a_call_of_discovery_that_fails_for_want_of_means_is_made_again_at_once() {
+fn a_discovery_call_that_fails_for_lack_of_resources_is_repeated_at_once() {
     let (backend, discovery, faults) =
         (Backend::start(|_| ok_response("x")), Discovery::start(), Faults::none());
     let mut config = config(discovery.address, &[endpoint("a", backend.address, "draining", 0)]);
@@ -88,7 +88,7 @@
 
 /// Guards against a reload that is lost because a file or a thread could not be opened for a moment.
 #[test]
-fn a_reload_that_finds_no_means_for_a_moment_is_made_all_the_same() {
+fn a_reload_that_lacks_resources_for_a_moment_succeeds() {
     let (backend, faults) = (Backend::start(|_| ok_response("x")), Faults::none());
     let mut discovery = Discovery::start();
     let mut config = config(discovery.address, &[endpoint("a", backend.address, "ready", 0)]);
--- a/tests/proxy/slow_clients.rs
+++ b/tests/proxy/slow_clients.rs
@@ -44,7 +44,7 @@
 
 /// Guards against an idle timeout that runs on through a request that has begun.
 #[test]
-fn a_request_that_begins_on_a_resting_connection_is_answered() {
+fn a_request_that_begins_on_an_idle_connection_is_answered() {
     let run = |(served_before, idle_ms): (bool, u64)| {
         let backend = Backend::start(|_| ok_response("x"));
         let (proxy, _discovery) = proxy_for(&[("a", &backend)]);
@@ -125,7 +125,7 @@
 
 /// Guards against peers that hold a slot for long with half a request.
 #[test]
-fn a_peer_that_stops_in_the_middle_of_a_request_has_its_end_within_3_s() {
+fn a_peer_that_stops_in_the_middle_of_a_request_is_closed_within_3_s() {
     let run = |stalled_peer: StalledPeer| {
         let backend = Backend::start(|_| ok_response("x"));
         let (proxy, _discovery) = proxy_for(&[("a", &backend)]);
@@ -138,7 +138,7 @@
 
 /// Guards against peers that wait for a slot, and have their end that much later.
 #[test]
-fn on_a_crowded_proxy_too_stalling_peers_have_their_end_within_3_s() {
+fn at_capacity_too_stalling_peers_are_closed_within_3_s() {
     let backend = Backend::start(|_| ok_response("x"));
     let discovery = Discovery::start();
     let mut config = config(discovery.address, &[endpoint("a", backend.address, "ready", 0)]);
@@ -161,7 +161,7 @@
 
 /// Guards against a connection that is closed without an answer at the end of the process.
 #[test]
-fn a_request_that_is_never_whole_is_answered_before_the_end_of_the_process() {
+fn a_request_that_is_never_complete_is_answered_before_the_process_exits() {
     for StalledPeer { text, .. } in STALLED_PEERS.iter().filter(|peer| !peer.text.is_empty()) {
         let backend = Backend::start(|_| ok_response("x"));
         let (mut proxy, _discovery) = proxy_for(&[("a", &backend)]);
@@ -177,7 +177,7 @@
 
 /// Guards against a peer that sends for ever and is read for as long.
 #[test]
-fn a_peer_that_sends_60_mb_has_its_end_within_6_s() {
+fn a_peer_that_sends_60_mb_is_closed_within_6_s() {
     let backend = Backend::start(|_| ok_response("x"));
     let (proxy, _discovery) = proxy_for(&[("a", &backend)]);
     let long_text = "x".repeat(60_000_000);
--- a/tests/proxy/soak.rs
+++ b/tests/proxy/soak.rs
@@ -127,7 +127,7 @@
 
 /// Guards against rules that hold for each fault alone and break where several meet.
 #[test]
-fn no_rule_is_broken_among_all_troubles_at_once() {
+fn no_rule_is_broken_among_all_faults_at_once() {
     let seeds: Vec<u64> = seeds().collect();
     let mut violations = Vec::new();
     for concurrent in seeds.chunks(CONCURRENT_RUNS) {
--- a/tests/proxy/time_left.rs
+++ b/tests/proxy/time_left.rs
@@ -59,7 +59,7 @@
 
 /// Guards against a remaining time that does not deduct what the request waited before it was read.
 #[test]
-fn the_time_told_leaves_out_what_the_request_waited_before_it_was_read() {
+fn the_time_left_sent_upstream_excludes_the_wait_before_the_request_was_read() {
     for class in ["read", "vote", "pay"] {
         for idle_ms in [0, 100, 700] {
             let excess = excess_after_stall(class, 2000, idle_ms);
@@ -74,7 +74,7 @@
 
 /// Guards against a remaining time that does not deduct what the connection waited behind idle clients.
 #[test]
-fn the_time_told_leaves_out_what_the_connection_waited_to_be_accepted() {
+fn the_time_left_sent_upstream_excludes_the_wait_for_the_accept() {
     let (backend, last) = start_recording_backend();
     let discovery = Discovery::start();
     let mut config = config(discovery.address, &[endpoint("a", backend.address, "ready", 0)]);
--- a/tests/proxy/wall_clock.rs
+++ b/tests/proxy/wall_clock.rs
@@ -67,7 +67,7 @@
 
 /// Guards against an even share from the first moment where the proxy's clock is ahead.
 #[test]
-fn a_backend_that_joins_is_cold_whatever_the_wall_clock_says() {
+fn a_backend_that_joins_is_warming_up_whatever_the_wall_clock_says() {
     for is_snapshot in [false, true] {
         for offset in OFFSETS {
             let (fleet, faults) = (Fleet::start(), Faults::none());
@@ -90,7 +90,7 @@
 
 /// Guards against a cached list that lacks the warming backend, names it, or names its process before.
 #[test]
-fn a_backend_that_started_around_the_restart_of_its_proxy_is_cold() {
+fn a_backend_that_started_around_the_restart_of_its_proxy_is_warming_up() {
     for offset in OFFSETS {
         for cached in ["lacking", "named", "its process before"] {
             let (fleet, faults) = (Fleet::start(), Faults::none());
--- a/tests/simulator_adapter.rs
+++ b/tests/simulator_adapter.rs
@@ -72,7 +72,7 @@
 
 /// Guards against a request without an answer while no backend is known.
 #[test]
-fn with_no_backend_a_request_is_refused_in_time() {
+fn with_no_backend_a_request_is_rejected_in_time() {
     let job = r#"["JOB_IN","proxy-3","00000000000000ab",null,900000,null,"north",0,"pay"]"#;
     let mut input = format!("[\"TICK\",1000]\n{}{job}\n[\"END\"]\n", create(SETTINGS));
     for (at, token) in (1..200).map(|n| (1000 + n * 5000, n)) {
@@ -95,7 +95,7 @@
 
 /// Guards against malformed lines that are skipped, or reported without line number and expectation.
 #[test]
-fn malformed_lines_are_told_and_end_the_process() {
+fn malformed_lines_are_reported_and_end_the_process() {
     let job = |rest: &str| format!("[\"JOB_IN\",\"proxy-3\",{rest}]");
     let cases = [
         ("no json".into(), "JSON"),
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn settings_that_are_not_taken_name_the_key_and_what_was_expected() {
+fn rejected_settings_name_the_key_and_what_was_expected() {
     let cases = [
         (json!([]), "zones: missing, expected an array"),
         (without(&settings(), "/discovery"), "discovery: missing, expected text"),
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn one_bad_entry_refuses_a_list() {
+fn one_bad_entry_rejects_a_list() {
     let list = EndpointList::from_value(&endpoint_list()).unwrap();
     assert_eq!((list.version, list.is_snapshot, list.endpoints.len()), (7, true, 1));
     let backend = &list.endpoints[0].backend;
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn a_proxy_s_configuration_is_told_by_paths_from_its_root() {
+fn faults_of_a_proxy_configuration_name_paths_from_its_root() {
     let taken = ProxyConfigMessage::from_value(&proxy_config()).unwrap();
     assert_eq!((taken.seed, taken.max_file_descriptors), (255, 64));
     assert_eq!(taken.cached_list.map(|list| list.version), Some(7));
