--- a/scale/src/report.rs
+++ b/scale/src/report.rs
@@ -1,4 +1,4 @@
-//! Results: JSON lines for programs, a table for people, and the verdict.
+//! The results of a plan: JSON lines for programs, a table for people.
 
 use crate::linear_fit;
 use crate::plan::Plan;
--- a/src/balancer/admission.rs
+++ b/src/balancer/admission.rs
@@ -9,17 +9,19 @@
 use crate::random::Random;
 use crate::units::{ClassId, Micros};
 
-/// Part of the time between an unloaded answer and the latency objective within which an answer is prompt: at
-/// twice that the tail of the answers misses the objective.
+/// Part of the time between an unloaded answer and the latency objective within which an answer is prompt:
+/// where the mean takes twice that, the slowest answers miss the objective.
 const PROMPT_FRACTION: f64 = 0.25;
-/// Least part of the traffic that is admitted, so that recovery is seen.
+/// Least part of the traffic that is admitted: with none, no answer would show that the backends have
+/// recovered.
 const LEAST_ADMITTED_FRACTION: f64 = 0.05;
 /// Relative change of the admitted fraction for each answer.
 const ADJUSTMENT_STEP: f64 = 0.07;
 /// A slow answer, one that is not prompt, counts this many times: the fraction settles where a third are
 /// slow, so that a quarter of the backends may be outliers without any shedding.
 const SLOW_ANSWER_WEIGHT: f64 = 2.0;
-/// Requests a second from which the step is cut: it must not outrun the answers that tell its effect.
+/// Requests a second above which the step shrinks: the fraction moves no faster than answers report its
+/// effect.
 const FULL_STEP_RATE: f64 = 10.0;
 /// Requests a second that a proxy is taken to have while its rate is not known: a full step.
 const UNKNOWN_RATE_PER_SECOND: f64 = 1.0;
@@ -37,8 +39,9 @@
         Admission { admitted_fraction: 1.0, low_priority_fraction: 0.0 }
     }
 
-    /// Up to this many proxies the concurrency limits bound what is in flight at a backend; with more, one
-    /// attempt of each proxy is over the limit already, and they learn from the answers.
+    /// Whether load is shed by the admitted fraction: only with more proxies than [`IN_FLIGHT_PER_BACKEND`],
+    /// where one attempt of each is over that limit already. With fewer the concurrency limits alone protect
+    /// the backends.
     fn is_adaptive(config: &Config) -> bool {
         f64::from(config.proxy_count) > IN_FLIGHT_PER_BACKEND
     }
@@ -58,7 +61,7 @@
 
     /// Takes in whether an answer was prompt. The fraction moves by answers, not by arrivals: it returns
     /// slowly after deep shedding, while overloaded backends work off what they have.
-    pub fn record_answer(&mut self, config: &Config, proxy_rate: Option<f64>, is_prompt: bool) {
+    pub fn record_promptness(&mut self, config: &Config, proxy_rate: Option<f64>, is_prompt: bool) {
         if !Self::is_adaptive(config) {
             return;
         }
--- a/src/balancer/attempt_outcome.rs
+++ b/src/balancer/attempt_outcome.rs
@@ -53,7 +53,7 @@
     }
 
     fn record_promptness(&mut self, is_prompt: bool) {
-        self.admission.record_answer(&self.config, self.admitted_rate.per_second(), is_prompt);
+        self.admission.record_promptness(&self.config, self.admitted_rate.per_second(), is_prompt);
     }
 
     /// What an outcome tells of its backend, kind and class.
--- a/src/balancer/classes.rs
+++ b/src/balancer/classes.rs
@@ -6,7 +6,7 @@
 use crate::estimators::RunningMean;
 use crate::units::{ClassId, Micros};
 
-/// Samples in the mean of a class or a kind: its error is then about a tenth of the spread.
+/// Samples in every mean and share that is learned: the error of a mean is then about a tenth of the spread.
 pub(super) const MEAN_WINDOW: f64 = 100.0;
 /// Part of its latency objective that a class is taken to need before one of its requests was served.
 const UNKNOWN_LATENCY_FRACTION: f64 = 0.25;
@@ -82,7 +82,7 @@
     }
 
     /// Takes in that a request was answered.
-    pub fn record_answer(&mut self, answered: ClassId, on_time: bool) {
+    pub fn record_final_answer(&mut self, answered: ClassId, on_time: bool) {
         for (index, class) in self.classes.iter_mut().enumerate() {
             let hit = f64::from(on_time && index == answered.0);
             class.on_time_share += (hit - class.on_time_share) / MEAN_WINDOW;
--- a/src/balancer/concurrency_limit.rs
+++ b/src/balancer/concurrency_limit.rs
@@ -34,9 +34,9 @@
         self.least_round_trip_secs = Some(least);
     }
 
-    /// Attempts of all proxies that may be in flight at the backend, at that readiness. Half of the usual
-    /// number may wait or be worked on there; as many as it works off meanwhile may be on their way, which
-    /// keep it busy and do not overload it.
+    /// Attempts of all proxies that may be in flight at the backend: `IN_FLIGHT_PER_BACKEND / 2` at the
+    /// backend itself, and those that its round trip keeps on the network, (round trip - work) / work; at
+    /// least `IN_FLIGHT_PER_BACKEND`, all times its readiness.
     pub fn fleet_limit(&self, readiness: f64, expected_work_secs: Option<f64>) -> f64 {
         let on_the_way = match (self.least_round_trip_secs, expected_work_secs) {
             (Some(round_trip), Some(work)) => (round_trip - work) / work.max(LEAST_WORK_SECS),
@@ -45,11 +45,12 @@
         (IN_FLIGHT_PER_BACKEND / 2.0 + on_the_way).max(IN_FLIGHT_PER_BACKEND) * readiness
     }
 
-    /// Sets this proxy's part of the fleet's limit. With many proxies a part is below one: turns, from 0 to
-    /// 1, keep the sum at the limit, where one attempt each would overload every backend.
-    pub fn set_own(&mut self, equal_part: f64, zone_factor: f64, turn: f64) {
+    /// Sets this proxy's part of the fleet's limit. With many proxies a part is below one: the place in a
+    /// rotation, from 0 to 1, keeps the sum at the limit, where one attempt each would overload every
+    /// backend.
+    pub fn set_own(&mut self, equal_part: f64, zone_factor: f64, rotation_position: f64) {
         let by_zone = 1.0 - ZONE_PREFERENCE_FRACTION + ZONE_PREFERENCE_FRACTION * zone_factor;
-        self.own = (equal_part * by_zone + turn).floor().max(1.0);
+        self.own = (equal_part * by_zone + rotation_position).floor().max(1.0);
     }
 
     /// Attempts of this proxy that may be in flight there.
--- a/src/balancer/deadlines.rs
+++ b/src/balancer/deadlines.rs
@@ -2,9 +2,9 @@
 //! attempt is lost, and hedged or cancelled for a retry while an answer in time is still possible.
 
 use super::fleet::Fleet;
-use super::request::{Request, SentAttempt};
+use super::request::Request;
 use crate::config::Config;
-use crate::units::{Micros, Time};
+use crate::units::{AttemptNumber, Micros, Time};
 
 /// A queued request is reviewed every so many ticks.
 const QUEUED_REVIEW_TICKS: f64 = 4.0;
@@ -27,7 +27,10 @@
     GiveUp,
     /// Its only attempt went to a backend that has become unresponsive or is gone; a retry could still be in
     /// time.
-    BackendLost,
+    BackendUnresponsive {
+        /// The attempt.
+        attempt: AttemptNumber,
+    },
 }
 
 /// When a queued request is reviewed next.
@@ -47,17 +50,16 @@
     let latest_answer = latest_useful_answer(request);
     // An answer at the deadline itself would be too late.
     let last_tick = request.deadline.saturating_sub(config.tick);
-    let lost_at = attempt_lost_at(fleet, request, latest_answer, typical);
+    let lost_at = attempt_presumed_lost_at(fleet, request, latest_answer, typical);
     let end = lost_at.map_or(last_tick, |at| at.min(last_tick));
     let is_in_flight = request.is_in_flight();
     let routine = if is_in_flight { request.deadline } else { next_queued_review(config, now) };
     let would_be_too_late = !is_in_flight && now + typical >= latest_answer;
     let finding = if now >= end || would_be_too_late {
         Finding::GiveUp // while a rejection is still harmless
-    } else if is_backend_lost(fleet, request) && now + typical < request.objective_at {
-        Finding::BackendLost
     } else {
-        Finding::Keep
+        let unanswered = unanswered_attempt(fleet, request).filter(|_| now + typical < request.objective_at);
+        unanswered.map_or(Finding::Keep, |attempt| Finding::BackendUnresponsive { attempt })
     };
     Review { finding, next: routine.min(end) }
 }
@@ -74,18 +76,19 @@
 }
 
 /// When the newest attempt counts as lost; `None` while its backend has answered nothing since.
-fn attempt_lost_at(fleet: &Fleet, request: &Request, latest_answer: Time, typical: Micros) -> Option<Time> {
+fn attempt_presumed_lost_at(
+    fleet: &Fleet, request: &Request, latest_answer: Time, typical: Micros,
+) -> Option<Time> {
     let newest = request.attempts.last()?;
     let backend = fleet.backends.get(&newest.backend.id)?;
     let has_responded = backend.health.has_responded_since(newest.sent_at);
     has_responded.then(|| latest_answer.max(newest.sent_at + typical.times(LOST_LATENCIES)))
 }
 
-/// Whether the only attempt of the request is in flight at a backend that is unresponsive or no longer known.
-fn is_backend_lost(fleet: &Fleet, request: &Request) -> bool {
-    let is_lost = |attempt: &SentAttempt| {
-        let backend = fleet.backends.get(&attempt.backend.id);
-        attempt.in_flight && backend.is_none_or(|backend| backend.health.is_unresponsive())
-    };
-    matches!(&request.attempts[..], [only] if is_lost(only))
+/// The only attempt of the request, if it is in flight at a backend that is unresponsive or no longer known.
+fn unanswered_attempt(fleet: &Fleet, request: &Request) -> Option<AttemptNumber> {
+    let [only] = &request.attempts[..] else { return None };
+    let backend = fleet.backends.get(&only.backend.id);
+    let is_unresponsive = backend.is_none_or(|backend| backend.health.is_unresponsive());
+    (only.in_flight && is_unresponsive).then_some(AttemptNumber(0))
 }
--- a/src/balancer/dispatching.rs
+++ b/src/balancer/dispatching.rs
@@ -12,7 +12,7 @@
 impl Balancer {
     /// Dispatches what is queued, in order of priority, as far as backends have capacity.
     pub(super) fn dispatch_queued(&mut self, now: Time) {
-        if self.queue.is_idle() {
+        if self.queue.has_nothing_to_dispatch() {
             return;
         }
         for queued in self.take_queue_in_order() {
@@ -41,6 +41,7 @@
         let is_retry = !request.is_unsent();
         let budget_allows = !is_retry || self.retry_budget.allows_retry();
         if !budget_allows || !retry::may_dispatch(&self.config, now, request) {
+            // Else the attempt in flight decides: when it ends, the request is closed or queued again.
             if !request.is_in_flight() {
                 self.give_up(id);
             }
--- a/src/balancer/fleet.rs
+++ b/src/balancer/fleet.rs
@@ -16,7 +16,7 @@
 /// list, and names that come and go do not add up.
 const REMEMBERED_KINDS: usize = 16;
 /// Guards a division by the ready backends of a kind.
-const LEAST_READY_BACKENDS: f64 = 1e-9;
+const LEAST_READINESS: f64 = 1e-9;
 
 /// What is known of a backend.
 #[derive(Default)]
@@ -72,10 +72,10 @@
 #[derive(Default)]
 pub(super) struct TrackedKind {
     pub speed: KindSpeed,
-    /// Backends that can be used: the sum of their readiness. Set by `share_update`, like the next three.
-    pub ready_backends: f64,
-    /// Backends that the list allows requests to, whatever their health.
-    pub listed_backends: f64,
+    /// Sum of the readiness of its backends. Set by `share_update`, like the next three.
+    pub total_readiness: f64,
+    /// How many backends the list allows requests to, whatever their health.
+    pub listed_ready_backends: f64,
     /// Part of the traffic of all proxies, by HALB.
     pub fleet_share: f64,
     /// Highest weight that the list gave one of its backends: that of an idle one.
@@ -101,7 +101,7 @@
     /// change nothing.
     pub fn fair_share(&self, backend: &TrackedBackend) -> f64 {
         let part_of = |kind: &TrackedKind| {
-            kind.fleet_share * backend.readiness / kind.ready_backends.max(LEAST_READY_BACKENDS)
+            kind.fleet_share * backend.readiness / kind.total_readiness.max(LEAST_READINESS)
         };
         self.kind_of(backend).map_or(0.0, part_of)
     }
--- a/src/balancer/halb.rs
+++ b/src/balancer/halb.rs
@@ -14,8 +14,10 @@
 /// Below this part of the fleet's speed the arrival rate counts as zero.
 const NEGLIGIBLE_LOAD_FRACTION: f64 = 1e-6;
 
-/// The part of the traffic for each kind, at that many arrivals a second over all proxies. Without a rate the
-/// split follows the number of backends. All zero when no backend can be used.
+/// The part of the traffic for each kind of n backends of speed s, at that many arrivals r a second over all
+/// proxies: in proportion to n s - n sqrt(s) (S - r) / R, with S the sum of n s and R the sum of n sqrt(s)
+/// over the kinds. A kind with a negative part gets none and the rest is solved again, at most once for each
+/// kind. Without a rate the split follows the number of backends. All zero when no backend can be used.
 ///
 /// ```
 /// use load_balancer::{halb_shares, KindCapacity};
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -13,10 +13,12 @@
 //! | which backends this proxy uses | `subset`, `rotation` |
 //! | outliers and warming backends | `outlier_detection`, `slow_start` |
 //! | admission, priorities, quotas | `admission`, `priority`, `quota`, `classes` |
-//! | the way of a request | `request_arrival`, `dispatching`, `attempt_outcome`, `request_completion` |
+//! | the way of a request | `request_arrival`, `dispatching`, `attempt_outcome` |
+//! | its end | `request_review`, `request_completion` |
 //! | where an attempt goes | `request`, `request_queue`, `selection`, `concurrency_limit` |
 //! | retries, hedging, giving up | `retry`, `deadlines` |
 //! | replaced configuration | `reconfiguration` |
+//! | the next wake-up, log events | `wakeup`, `operator_log` |
 
 mod admission;
 mod attempt_outcome;
@@ -35,6 +37,7 @@
 mod request_arrival;
 mod request_completion;
 mod request_queue;
+mod request_review;
 mod retry;
 mod rotation;
 mod selection;
--- a/src/balancer/outlier_detection.rs
+++ b/src/balancer/outlier_detection.rs
@@ -21,14 +21,14 @@
 const UNRESPONSIVE_LATENCIES: f64 = 6.0;
 /// Mean length of a first ejection.
 const BASE_EJECTION_TIME: Micros = Micros(1_000_000);
-/// Least part of [`BASE_EJECTION_TIME`] that an ejection lasts.
-const LEAST_JITTER: f64 = 0.75;
-/// By how much that part varies at random.
-const JITTER_SPREAD: f64 = 0.5;
+/// The jitter factor of an ejection time, before doubling, is drawn from this ...
+const MIN_JITTER_FACTOR: f64 = 0.75;
+/// ... to this much more.
+const JITTER_FACTOR_SPREAD: f64 = 0.5;
 /// Doublings of the ejection time at most: a backend that has recovered is back within some seconds.
 const MAX_EJECTION_DOUBLINGS: i32 = 3;
 /// With a larger part of the fleet ejected, ejected backends are used: then it is not they that fail.
-const MAX_EJECTED_FRACTION: f64 = 0.5;
+const PANIC_THRESHOLD_FRACTION: f64 = 0.5;
 
 /// What this proxy saw of a backend's health.
 #[derive(Default)]
@@ -42,7 +42,7 @@
     /// Ejections that no probation has cleared.
     ejections: i32,
     /// Successes that are still needed to clear them; failures in between do not count.
-    probation: u32,
+    probation_successes_left: u32,
     /// From 0 (not to be used) to 1 (no errors of late).
     factor: f64,
 }
@@ -58,7 +58,7 @@
         self.is_unresponsive
     }
 
-    /// It has answered something after that time.
+    /// It has answered something after that time; an answer at that very time may be to an earlier request.
     pub fn has_responded_since(&self, time: Time) -> bool {
         self.last_response > time
     }
@@ -74,8 +74,8 @@
     fn record_success(&mut self, now: Time) {
         self.last_response = now;
         self.error_rate *= 1.0 - ERROR_RATE_WEIGHT;
-        self.probation = self.probation.saturating_sub(1);
-        if self.probation == 0 {
+        self.probation_successes_left = self.probation_successes_left.saturating_sub(1);
+        if self.probation_successes_left == 0 {
             self.ejections = 0;
         }
     }
@@ -120,8 +120,9 @@
             false
         }
         Outcome::Cancelled | Outcome::NotSent | Outcome::Rejected => false,
-        // A heavy request alone is no fault of its backend, which answered others meanwhile.
-        Outcome::TimedOut => health.last_response < attempt.sent_at, // one at that very moment counts
+        // A heavy request alone is no fault of its backend if that has answered others since, or as it was
+        // sent.
+        Outcome::TimedOut => health.last_response < attempt.sent_at,
         Outcome::ErrorResponse | Outcome::ConnectionReset | Outcome::ConnectFailed => {
             health.record_failure(now, outcome);
             is_outlier(fleet, attempt.backend, outcome)
@@ -198,7 +199,7 @@
 fn eject(
     fleet: &mut Fleet, now: Time, id: BackendId, outcome: Outcome, random: &mut Random,
 ) -> Option<Ejected> {
-    let base_secs = BASE_EJECTION_TIME.secs() * (LEAST_JITTER + JITTER_SPREAD * random.unit());
+    let base_secs = BASE_EJECTION_TIME.secs() * (MIN_JITTER_FACTOR + JITTER_FACTOR_SPREAD * random.unit());
     let backend = fleet.backends.get_mut(&id)?;
     let health = &mut backend.health;
     if health.ejected_until.is_some_and(|until| now < until) {
@@ -207,7 +208,7 @@
     let doublings = health.ejections.min(MAX_EJECTION_DOUBLINGS);
     health.ejected_until = Some(now + Micros::from_secs(base_secs * f64::from(doublings).exp2()));
     health.ejections += 1;
-    health.probation = if outcome == Outcome::ErrorResponse { PROBATION_SUCCESSES } else { 1 };
+    health.probation_successes_left = if outcome == Outcome::ErrorResponse { PROBATION_SUCCESSES } else { 1 };
     backend.readiness = 0.0;
     Some(Ejected { backend: id, outcome })
 }
@@ -251,7 +252,7 @@
 
     /// Whether an ejected backend is used all the same. An unreachable one is only where all are.
     fn allow_use(&self, health: &Health) -> bool {
-        let too_many = self.ejected > self.listed * MAX_EJECTED_FRACTION;
+        let too_many = self.ejected > self.listed * PANIC_THRESHOLD_FRACTION;
         too_many && (!health.is_unreachable || self.ejected_unreachable == self.listed)
     }
 }
--- a/src/balancer/priority.rs
+++ b/src/balancer/priority.rs
@@ -9,7 +9,7 @@
 use crate::units::ClassId;
 
 /// Requests of less relative value have low priority: they find only a part of the capacity.
-pub(super) const LOW_PRIORITY_BELOW: f64 = 0.5;
+const LOW_PRIORITY_BELOW: f64 = 0.5;
 /// Part of every concurrency limit that requests of low priority may use.
 pub(super) const LOW_PRIORITY_CAPACITY_FRACTION: f64 = 0.5;
 /// Classes whose on-time part is this close to the lowest count as served worst too.
--- a/src/balancer/request_queue.rs
+++ b/src/balancer/request_queue.rs
@@ -1,28 +1,34 @@
-//! Admitted requests that wait for a dispatch, in order of priority.
+//! Admitted requests that wait for a dispatch: highest priority first, and within one priority the newest
+//! first, as the oldest is the most likely to miss its deadline anyway.
 
-use super::priority::LOW_PRIORITY_BELOW;
+use super::priority::is_low_priority;
 use super::request::Request;
 use crate::units::{RequestId, Time};
 
-/// Above every value of a first attempt: a retry is never skipped because a first attempt found no capacity.
-const RETRY_VALUE: f64 = f64::MAX;
-
 /// A request in the order of dispatch.
 pub(super) struct Queued {
     pub request: RequestId,
     priority: f64,
     arrived_at: Time,
-    /// Compared with the value up to which the queue is blocked.
-    value: f64,
+    is_retry: bool,
+    is_low_priority: bool,
+}
+
+/// The first attempts that found no capacity since the last event that could free some. Trying each again
+/// would cost much processor time in a long queue. Retries are skipped only with everything else.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
+enum Blocked {
+    #[default]
+    Nothing,
+    LowPriority,
+    Everything,
 }
 
 /// Requests that wait, and what is known of the capacity for them.
 #[derive(Default)]
 pub(super) struct RequestQueue {
     waiting: Vec<RequestId>,
-    /// First attempts of less value found no capacity since the last event that could free some. Trying each
-    /// again would cost much processor time in a long queue.
-    blocked_below: f64,
+    blocked: Blocked,
 }
 
 impl RequestQueue {
@@ -47,24 +53,28 @@
 
     /// There may be capacity again.
     pub fn unblock(&mut self) {
-        self.blocked_below = 0.0;
+        self.blocked = Blocked::Nothing;
     }
 
     /// Nothing waits, or nothing can be dispatched, retries included, before the next event that frees
     /// capacity.
-    pub fn is_idle(&self) -> bool {
-        self.waiting.is_empty() || self.blocked_below == f64::MAX
+    pub fn has_nothing_to_dispatch(&self) -> bool {
+        self.waiting.is_empty() || self.blocked == Blocked::Everything
     }
 
     /// A first attempt of that priority found no capacity.
     pub fn block(&mut self, is_low_priority: bool) {
-        let below = if is_low_priority { LOW_PRIORITY_BELOW } else { f64::MAX };
-        self.blocked_below = self.blocked_below.max(below);
+        let blocked = if is_low_priority { Blocked::LowPriority } else { Blocked::Everything };
+        self.blocked = self.blocked.max(blocked);
     }
 
     /// Whether a request is known to find no capacity.
     pub fn is_blocked(&self, queued: &Queued) -> bool {
-        queued.value < self.blocked_below
+        match self.blocked {
+            Blocked::Nothing => false,
+            Blocked::LowPriority => !queued.is_retry && queued.is_low_priority,
+            Blocked::Everything => !queued.is_retry,
+        }
     }
 
     /// Takes out all requests that wait, some of which may have been closed.
@@ -75,9 +85,13 @@
 
 impl Queued {
     pub fn new(id: RequestId, request: &Request, class_priorities: &[f64]) -> Queued {
-        let value = if request.is_unsent() { request.relative_value } else { RETRY_VALUE };
-        let priority = class_priorities[request.class.0] * request.relative_value;
-        Queued { request: id, priority, arrived_at: request.arrived_at, value }
+        Queued {
+            request: id,
+            priority: class_priorities[request.class.0] * request.relative_value,
+            arrived_at: request.arrived_at,
+            is_retry: !request.is_unsent(),
+            is_low_priority: is_low_priority(request.relative_value),
+        }
     }
 
     /// Highest priority first, inside it the newest first: an old one is more likely late whatever is done.
--- a/src/balancer/share_update.rs
+++ b/src/balancer/share_update.rs
@@ -39,17 +39,17 @@
     /// Sets the readiness of every backend, and sums it up by kind.
     fn update_readiness(&mut self, now: Time) {
         for kind in self.fleet.kinds.values_mut() {
-            kind.ready_backends = 0.0;
-            kind.listed_backends = 0.0;
+            kind.total_readiness = 0.0;
+            kind.listed_ready_backends = 0.0;
         }
         for backend in self.fleet.backends.values_mut() {
             let kind = self.fleet.kinds.entry(backend.record.kind).or_default();
-            kind.listed_backends += f64::from(backend.is_listed_ready());
+            kind.listed_ready_backends += f64::from(backend.is_listed_ready());
             kind.idle_weight = kind.idle_weight.max(backend.record.weight);
             backend.readiness = backend.health.factor()
                 * warm_fraction(&self.config, now, &backend.record, LIKELY_DURATION_FRACTION)
                 * reported_load_factor(&self.config, &backend.record, kind.idle_weight);
-            kind.ready_backends += backend.readiness;
+            kind.total_readiness += backend.readiness;
         }
     }
 
@@ -57,7 +57,7 @@
         let kinds = self.fleet.kinds.values();
         let capacities: Vec<KindCapacity> = kinds
             .map(|kind| KindCapacity {
-                backends: kind.ready_backends,
+                backends: kind.total_readiness,
                 speed: kind.speed.requests_per_second(),
             })
             .collect();
--- a/src/balancer/slow_start.rs
+++ b/src/balancer/slow_start.rs
@@ -95,6 +95,7 @@
         let limit = self.window_limit(backend);
         let root =
             ((TRAFFIC_DEVIATIONS * TRAFFIC_DEVIATIONS + 4.0 * limit).sqrt() - TRAFFIC_DEVIATIONS) / 2.0;
+        // An unknown rate bounds no share: `admits` still limits each request.
         let fleet_rate = self.proxy_rate.unwrap_or(0.0) * f64::from(self.config.proxy_count);
         root * root / (fleet_rate * self.config.overload_window.secs()).max(1e-9)
     }
--- a/src/balancer/speed_estimation.rs
+++ b/src/balancer/speed_estimation.rs
@@ -40,10 +40,10 @@
 
 /// A kind's part of the traffic and the state of its backends.
 struct KindLoad {
-    /// Backends that can be used, by their readiness.
-    ready_backends: f64,
-    /// Backends that the list allows requests to.
-    listed_backends: f64,
+    /// Sum of the readiness of its backends.
+    total_readiness: f64,
+    /// How many backends the list allows requests to.
+    listed_ready_backends: f64,
     /// Requests a second for each ready backend.
     flow: f64,
 }
@@ -78,7 +78,7 @@
     fn update(&mut self, load: &KindLoad, elapsed_secs: f64, latency_prior_secs: f64) {
         self.update_unloaded(elapsed_secs, latency_prior_secs);
         let weight = (elapsed_secs / SPEED_MEMORY.secs()).min(1.0);
-        if load.ready_backends > load.listed_backends * REPRESENTATIVE_FRACTION {
+        if load.total_readiness > load.listed_ready_backends * REPRESENTATIVE_FRACTION {
             self.carried += (load.flow - self.carried) * weight;
         }
         // Smoothed: the flow is this proxy's own view. Unsmoothed, a kind with a large share looks ever
@@ -103,10 +103,10 @@
 ) {
     let latency_prior_secs = shortest_objective.secs() * UNLOADED_PRIOR_FRACTION;
     for kind in fleet.kinds.values_mut() {
-        let ready_backends = kind.ready_backends;
+        let total_readiness = kind.total_readiness;
         let kind_rate = fleet_rate.unwrap_or(0.0) * kind.fleet_share;
-        let flow = if ready_backends > 0.0 { kind_rate / ready_backends } else { 0.0 };
-        let load = KindLoad { ready_backends, listed_backends: kind.listed_backends, flow };
+        let flow = if total_readiness > 0.0 { kind_rate / total_readiness } else { 0.0 };
+        let load = KindLoad { total_readiness, listed_ready_backends: kind.listed_ready_backends, flow };
         kind.speed.update(&load, elapsed_secs, latency_prior_secs);
     }
     let mean = mean_known_speed(fleet);
--- a/src/balancer/subset.rs
+++ b/src/balancer/subset.rs
@@ -136,7 +136,9 @@
     backend: &'a mut TrackedBackend,
 }
 
-/// The size of all proxies' subsets of one kind.
+/// The size of all proxies' subsets of one kind. Proxies per backend fall from 8 towards 5 as the fleet grows
+/// past 100 proxies, as far as [`MAX_BACKENDS_PER_KIND`] asks for it; no subset has fewer than
+/// [`MIN_BACKENDS_PER_KIND`] backends.
 struct SubsetSize {
     proxies_per_backend: f64,
     /// Part of the ring.
@@ -170,7 +172,7 @@
     }
     for (kind, mut ring) in rings {
         let kind = fleet.kinds.entry(kind).or_default();
-        kind.subset = place_subset(config, &mut ring, kind.ready_backends);
+        kind.subset = place_subset(config, &mut ring, kind.total_readiness);
     }
 }
 
@@ -182,13 +184,13 @@
     }
 }
 
-fn place_subset(config: &Config, ring: &mut [RingMember], ready_backends: f64) -> KindSubset {
+fn place_subset(config: &Config, ring: &mut [RingMember], total_readiness: f64) -> KindSubset {
     let proxy_count = f64::from(config.proxy_count);
     let backend_count = ring.iter().filter(|member| member.length > 0.0).count() as f64;
     let size = SubsetSize::of(proxy_count, backend_count);
     let covered_backends = cover(config, ring, &size);
     if covered_backends > 0.0 {
-        let share_multiplier = ready_backends / covered_backends.max(EPSILON);
+        let share_multiplier = total_readiness / covered_backends.max(EPSILON);
         return KindSubset { width: size.width, share_multiplier };
     }
     // Nothing in the subset can be used: any other backend of the kind is better than none.
--- a/src/balancer/traffic_allocation.rs
+++ b/src/balancer/traffic_allocation.rs
@@ -10,7 +10,7 @@
 use crate::units::{BackendId, Micros, Time};
 
 /// The proxies' parts of a concurrency limit rotate this often: long beside any request.
-const CONCURRENCY_TERM: Micros = Micros(5_000_000);
+const CONCURRENCY_ROTATION_PERIOD: Micros = Micros(5_000_000);
 /// Share that every usable backend has: it takes the overflow where all others are at their limits.
 const TRACE_SHARE: f64 = 1e-6;
 /// Guards divisions by the coverage of a backend.
@@ -58,8 +58,8 @@
     fair_share: f64,
     /// Part of the traffic of all proxies that its slow start allows.
     max_fleet_share: f64,
-    /// This proxy's turn, from 0 to 1.
-    concurrency_turn: f64,
+    /// This proxy's place in the rotation, from 0 to 1.
+    rotation_position: f64,
 }
 
 impl Bounds {
@@ -67,7 +67,7 @@
         Bounds {
             fair_share: slow_start.fleet.fair_share(backend),
             max_fleet_share: slow_start.max_fleet_share(backend),
-            concurrency_turn: rotation.position(backend.record.id, slow_start.now),
+            rotation_position: rotation.position(backend.record.id, slow_start.now),
         }
     }
 }
@@ -82,7 +82,7 @@
     let proxy_count = f64::from(config.proxy_count);
     proxy_limit.update(fleet.backends.values().map(fleet_limit).sum(), proxy_count);
     let zones = ZonePreference::new(config, fleet);
-    let rotation = Rotation::new(config, CONCURRENCY_TERM);
+    let rotation = Rotation::new(config, CONCURRENCY_ROTATION_PERIOD);
     let slow_start = SlowStart { config, fleet, now, proxy_rate };
     let bounds: Vec<Bounds> =
         fleet.backends.values().map(|backend| Bounds::of(&slow_start, &rotation, backend)).collect();
@@ -91,7 +91,7 @@
         let kind = fleet.kinds.entry(backend.record.kind).or_default();
         let zone_factor = zones.factor(backend.record.zone);
         let equal_part = fleet_limit(backend) / (proxy_count * kind.subset.width());
-        backend.concurrency.set_own(equal_part, zone_factor, bounds.concurrency_turn);
+        backend.concurrency.set_own(equal_part, zone_factor, bounds.rotation_position);
         backend.traffic_share = traffic_share(backend, kind, zone_factor, proxy_count, &bounds);
         if backend.readiness > 0.0 {
             kind.picks.push(id, backend.traffic_share);
--- a/src/bin/load-balancer-proxy/clock.rs
+++ b/src/bin/load-balancer-proxy/clock.rs
@@ -1,5 +1,5 @@
-//! The clock of the process, in Unix microseconds of its start: it may be off by any amount, so that times of other
-//! machines are never compared with it.
+//! The clock of the process, in Unix microseconds of its start: it may be off by any amount, so that times of
+//! other machines are never compared with it.
 
 use load_balancer::{Micros, Time};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
--- a/src/bin/load-balancer-proxy/config.rs
+++ b/src/bin/load-balancer-proxy/config.rs
@@ -1,4 +1,5 @@
-//! The configuration of the proxy (not of the balancer, which is a part of its settings), from the file that `$BALANCER_CONFIG` names.
+//! The configuration of the proxy (not of the balancer, which is a part of its settings), from the file that
+//! `$BALANCER_CONFIG` names.
 
 use load_balancer::net::resource_exhaustion;
 use load_balancer::wire::endpoint_list::EndpointList;
@@ -66,8 +67,8 @@
     pub idle_timeout: Micros,
     /// A connection that is not up after this time counts as failed.
     pub connect_timeout: Micros,
-    /// Requests to a draining backend must cease this soon after it was listed so. They cease at once; the limit only
-    /// bounds how long a lost call to discovery may go unnoticed.
+    /// Requests to a draining backend must cease this soon after it was listed so. They cease at once; the
+    /// limit only bounds how long a lost call to discovery may go unnoticed.
     pub drain_notice_limit: Micros,
     /// The longest time that a client waits.
     pub longest_deadline: Micros,
--- a/src/bin/load-balancer-proxy/dispatcher/attempt_report.rs
+++ b/src/bin/load-balancer-proxy/dispatcher/attempt_report.rs
@@ -5,9 +5,9 @@
 use load_balancer::{AttemptNumber, Outcome, RequestId};
 use tokio::sync::mpsc;
 
-/// Reports the end of one attempt. Dropped unsent it reports a reset connection, for the attempt may have been executed:
-/// so after a panic of its task. An attempt that the dispatcher itself has ended drops its report too; the dispatcher has
-/// forgotten the attempt by then and ignores the message.
+/// Reports the end of one attempt. Dropped unsent it reports a reset connection, for the attempt may have
+/// been executed: so after a panic of its task. An attempt that the dispatcher itself has ended drops its
+/// report too; the dispatcher has forgotten the attempt by then and ignores the message.
 pub(super) struct AttemptReport {
     messages: mpsc::UnboundedSender<DispatcherMessage>,
     request: RequestId,
--- a/src/bin/load-balancer-proxy/dispatcher/message_handling.rs
+++ b/src/bin/load-balancer-proxy/dispatcher/message_handling.rs
@@ -1,5 +1,5 @@
-//! Handling of messages. The balancer receives them as events in its next tick; a served answer is sent to its
-//! client at once.
+//! Handling of messages. The balancer receives them as events in its next tick; a served answer is sent to
+//! its client at once.
 
 use super::deadlines::Deadline;
 use super::request_table::OpenRequest;
@@ -62,8 +62,8 @@
         }
     }
 
-    /// Ends an attempt in flight, and answers its client if it was served. A second end of the same attempt is
-    /// ignored: each has one outcome.
+    /// Ends an attempt in flight, and answers its client if it was served. A second end of the same attempt
+    /// is ignored: each has one outcome.
     pub(super) fn end_attempt(
         &mut self, now: Time, id: RequestId, number: AttemptNumber, result: UpstreamResult,
     ) {
--- a/src/bin/load-balancer-proxy/dispatcher/mod.rs
+++ b/src/bin/load-balancer-proxy/dispatcher/mod.rs
@@ -1,9 +1,10 @@
-//! The dispatcher owns the open requests and their attempts: it turns what happens into events for the balancer
-//! and carries out the actions that follow. Which requests are admitted, where an attempt goes and whether it is
-//! retried is decided by the balancer.
+//! The dispatcher owns the open requests and their attempts: it turns what happens into events for the
+//! balancer and carries out the actions that follow. Which requests are admitted, where an attempt goes and
+//! whether it is retried is decided by the balancer.
 //!
-//! Three things are decided here, since they hold whatever the balancer does: requests past the cap on open ones are
-//! rejected, what is overdue is failed, and an attempt of an answered or expired request is not sent.
+//! Three things are decided here, since they hold whatever the balancer does: requests past the cap on open
+//! ones are rejected, what is overdue is failed, and an attempt of an answered or expired request is not
+//! sent.
 //!
 //! | concern | module |
 //! | --- | --- |
--- a/src/bin/load-balancer-proxy/dispatcher/recovery.rs
+++ b/src/bin/load-balancer-proxy/dispatcher/recovery.rs
@@ -16,7 +16,8 @@
         }
         self.fail_all_requests();
         self.timers.clear();
-        // They concern requests that are failed, or what the new balancer starts from; deadlines stay cut here.
+        // They concern requests that are failed, or what the new balancer starts from; deadlines stay cut
+        // here.
         self.events.clear();
         let backends = self.backends.entries();
         self.events.push(Event::EndpointListChanged { update: EndpointListUpdate::Cached, backends });
--- a/src/bin/load-balancer-proxy/dispatcher/request_table.rs
+++ b/src/bin/load-balancer-proxy/dispatcher/request_table.rs
@@ -115,7 +115,8 @@
     }
 
     /// Removes the finished requests, after the balancer has handled their events. Until then it may ask for
-    /// another attempt, which must end under its own number: else the balancer counts it as in flight for ever.
+    /// another attempt, which must end under its own number: else the balancer counts it as in flight for
+    /// ever.
     pub fn remove_finished(&mut self, deadlines: &mut Deadlines) {
         for id in std::mem::take(&mut self.finished) {
             if !self.is_finished(id) {
--- a/src/bin/load-balancer-proxy/reload/mod.rs
+++ b/src/bin/load-balancer-proxy/reload/mod.rs
@@ -1,8 +1,8 @@
 //! SIGHUP: the configuration is read and checked beside the requests and comes into force in one step.
 //!
-//! A setting that may change while the proxy runs is held by the server (requests are parsed by it), the dispatcher (which
-//! passes it on to the connection pool and the balancer) and, for calls to discovery, the watch's settings. What needs a
-//! restart is listed in `restart_only`.
+//! A setting that may change while the proxy runs is held by the server (requests are parsed by it), the
+//! dispatcher (which passes it on to the connection pool and the balancer) and, for calls to discovery, the
+//! watch's settings. What needs a restart is listed in `restart_only`.
 
 mod config_reader;
 mod restart_only;
--- a/src/bin/load-balancer-proxy/server/client_connection.rs
+++ b/src/bin/load-balancer-proxy/server/client_connection.rs
@@ -1,7 +1,8 @@
 //! The state of a client connection, its timeouts, and the request to close it.
 //!
-//! A connection is idle, receives the head of a request, handles it (reads its body, then awaits its answer), and is idle
-//! again. What it does follows from the first byte since the last answer and from what its task has noted.
+//! A connection is idle, receives the head of a request, handles it (reads its body, then awaits its answer),
+//! and is idle again. What it does follows from the first byte since the last answer and from what its task
+//! has noted.
 
 use crate::clock::{micros, Clock};
 use load_balancer::{Micros, Time};
--- a/src/bin/load-balancer-proxy/server/connection_task.rs
+++ b/src/bin/load-balancer-proxy/server/connection_task.rs
@@ -32,7 +32,8 @@
     Wait,
     /// The current request, if there is one, is the last.
     StopAfterRequest,
-    /// The request whose head is incomplete is answered 408. One whose body is incomplete is answered by its handler.
+    /// The request whose head is incomplete is answered 408. One whose body is incomplete is answered by its
+    /// handler.
     TimeOutRequest,
     /// The connection is dropped.
     Drop,
--- a/src/bin/load-balancer-proxy/server/graceful_shutdown.rs
+++ b/src/bin/load-balancer-proxy/server/graceful_shutdown.rs
@@ -11,11 +11,13 @@
 
 /// Connections are accepted for this long after SIGTERM: clients still open some.
 const ACCEPT_PERIOD: Duration = Duration::from_millis(500);
-/// The longest time of a request that is waited for. The platform sends SIGKILL 0.7 s after it, counted from SIGTERM.
+/// The longest time of a request that is waited for. The platform sends SIGKILL 0.7 s after it, counted from
+/// SIGTERM.
 const MAX_REQUEST_TIME: Micros = Micros(3_000_000);
 /// Time for answers after that; the 0.2 s up to SIGKILL are for a stall of 0.15 s and the way to the client.
 const ANSWER_PERIOD: Micros = Micros(500_000);
-/// Time to write the last 408 responses, counted from then: a process that was stalled until then has written none.
+/// Time to write the last 408 responses, counted from then: a process that was stalled until then has written
+/// none.
 const TIMEOUT_RESPONSE_PERIOD: Duration = Duration::from_millis(100);
 
 /// When the listener is closed if the shutdown begins now.
@@ -34,7 +36,8 @@
         deadline
     }
 
-    /// Serves what the system has accepted and what is open, up to the deadline; answers incomplete requests 408 then.
+    /// Serves what the system has accepted and what is open, up to the deadline; answers incomplete requests
+    /// 408 then.
     pub(super) async fn finish(self: &Rc<Self>, acceptor: Acceptor, deadline: Time) {
         let queue = acceptor.into_queue().inspect_err(|error| tracing::error!(%error, "listen queue lost"));
         let mut queue = queue.ok();
--- a/src/bin/load-balancer-proxy/server/request_error.rs
+++ b/src/bin/load-balancer-proxy/server/request_error.rs
@@ -40,7 +40,8 @@
     /// Its body is malformed or was cut off.
     #[error("the body is broken")]
     InvalidBody,
-    /// Its body was not complete in time, or before the connection had to close at capacity or at the shutdown.
+    /// Its body was not complete in time, or before the connection had to close at capacity or at the
+    /// shutdown.
     #[error("the body did not come in time")]
     BodyIncomplete,
 }
--- a/src/bin/load-balancer-proxy/startup.rs
+++ b/src/bin/load-balancer-proxy/startup.rs
@@ -214,7 +214,8 @@
     }
 }
 
-/// Sends the cached list to the dispatcher, an empty one too: the balancer subscribes only once it has handled an event.
+/// Sends the cached list to the dispatcher, an empty one too: the balancer subscribes only once it has
+/// handled an event.
 fn send_cached_list(shared: &SharedHandles, endpoints: Vec<Endpoint>) {
     let update = EndpointListUpdate::Cached;
     let _ = shared.dispatcher.send(DispatcherMessage::EndpointList { update, endpoints });
--- a/src/bin/load-balancer-proxy/upstream/attempt.rs
+++ b/src/bin/load-balancer-proxy/upstream/attempt.rs
@@ -52,7 +52,8 @@
     /// | what happened | outcome |
     /// | --- | --- |
     /// | a complete response | [`Outcome::Success`], [`Outcome::ErrorResponse`] or [`Outcome::Rejected`] |
-    /// | the time to write was over, the request was answered, the backend began to drain, or this machine was short of resources | [`Outcome::NotSent`] |
+    /// | the time to write was over, or the request was answered | [`Outcome::NotSent`] |
+    /// | the backend began to drain, or this machine was short of resources | [`Outcome::NotSent`] |
     /// | no connection, or it broke before the request was written whole | [`Outcome::ConnectFailed`] |
     /// | the connection broke after that | [`Outcome::ConnectionReset`] |
     /// | what came back is no valid response | [`Outcome::ErrorResponse`] |
--- a/src/bin/load-balancer-proxy/upstream/backend.rs
+++ b/src/bin/load-balancer-proxy/upstream/backend.rs
@@ -5,8 +5,9 @@
 use load_balancer::{BackendState, Micros, Time};
 use std::cell::{Cell, RefCell};
 
-/// A connection is not reused until this long after its last response: a second response that a faulty backend sends
-/// some milliseconds later ends an idle connection, but would be served as the answer to the next request.
+/// A connection is not reused until this long after its last response: a second response that a faulty
+/// backend sends some milliseconds later ends an idle connection, but would be served as the answer to the
+/// next request.
 pub(super) const REUSE_DELAY: Micros = Micros(5_000);
 
 /// A connection that has no request.
@@ -16,7 +17,8 @@
     pub connection: Connection,
 }
 
-/// One process of a backend, as the balancer's `Backend` and the endpoint list's `Endpoint` describe it: a restart makes a new one, so that no connection to the old is used.
+/// One process of a backend, as the balancer's `Backend` and the endpoint list's `Endpoint` describe it: a
+/// restart makes a new one, so that no connection to the old is used.
 pub struct Upstream {
     /// The backend as the endpoint list first described this process.
     pub endpoint: Endpoint,
--- a/src/bin/load-balancer-proxy/upstream/connection.rs
+++ b/src/bin/load-balancer-proxy/upstream/connection.rs
@@ -54,8 +54,8 @@
 
     /// Whether it can take a request: the backend has not closed it and the last response is done.
     pub async fn is_reusable(&mut self) -> bool {
-        // One poll, which never waits. A closed connection is not polled again: it would never be ready, and what waits
-        // on it would be held back until the deadline.
+        // One poll, which never waits. A closed connection is not polled again: it would never be ready, and
+        // what waits on it would be held back until the deadline.
         if !self.is_closed {
             self.is_closed =
                 poll_fn(|context| Poll::Ready(self.driver.as_mut().poll(context).is_ready())).await;
--- a/src/bin/load-balancer-proxy/upstream/connection_pool.rs
+++ b/src/bin/load-balancer-proxy/upstream/connection_pool.rs
@@ -127,8 +127,8 @@
         with_idle.push_back(Rc::downgrade(upstream));
     }
 
-    /// An idle connection past its [`REUSE_DELAY`] that the backend has not closed. Waiting for the delay takes
-    /// no longer than opening another connection, which costs the backend a handshake.
+    /// An idle connection past its [`REUSE_DELAY`] that the backend has not closed. Waiting for the delay
+    /// takes no longer than opening another connection, which costs the backend a handshake.
     async fn reuse_idle(&self, upstream: &Upstream) -> Option<Connection> {
         loop {
             let IdleConnection { since, mut connection } = upstream.take_idle(self.clock.now())?;
--- a/src/bin/load-balancer-proxy/upstream/socket.rs
+++ b/src/bin/load-balancer-proxy/upstream/socket.rs
@@ -1,5 +1,5 @@
-//! The socket of a connection to a backend. It records how much of the present request was written, and accepts
-//! as the end of a response only a close by the backend.
+//! The socket of a connection to a backend. It records how much of the present request was written, and
+//! accepts as the end of a response only a close by the backend.
 
 use hyper::rt::{Read, ReadBufCursor, Write};
 use hyper_util::rt::TokioIo;
@@ -15,8 +15,8 @@
 /// The most that is read at once.
 const READ_CHUNK_BYTES: usize = 8 << 10;
 
-/// How much of the present request was written to the socket. A request that was not fully written has not been
-/// executed.
+/// How much of the present request was written to the socket. A request that was not fully written has not
+/// been executed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) enum WriteProgress {
     /// No byte.
@@ -48,8 +48,8 @@
 pub(super) struct UpstreamSocket {
     io: TokioIo<TcpStream>,
     progress: Rc<Cell<WriteProgress>>,
-    /// Some call on it has failed: the system reports an error only once, and an end of stream after it is not
-    /// the backend's.
+    /// Some call on it has failed: the system reports an error only once, and an end of stream after it is
+    /// not the backend's.
     has_failed: bool,
 }
 
--- a/src/discovery/call_times.rs
+++ b/src/discovery/call_times.rs
@@ -1,16 +1,17 @@
 //! How long a call to discovery may wait for changes and for its answer, and the backoff between calls.
 //!
-//! A call can be lost without a sign. Its loss has to be noticed, and the next call answered, before the platform counts
-//! the proxy as notified of what it missed: where the list is subscribed to, change wait + grace + next call <= 6 s.
-//! A pushed list comes from an agent on the proxy's own machine, which the same calls ask for changes at no cost to
-//! others; there the limit is the settings' time for ceasing to send to a draining backend.
+//! A call can be lost without a sign. Its loss has to be noticed, and the next call answered, before the
+//! platform counts the proxy as notified of what it missed: where the list is subscribed to, change wait +
+//! grace + next call <= 6 s. A pushed list comes from an agent on the proxy's own machine, which the same
+//! calls ask for changes at no cost to others; there the limit is the settings' time for ceasing to send to a
+//! draining backend.
 
 use super::watch::WatchSettings;
 use crate::config::DiscoveryMode;
 use std::time::Duration;
 
-/// Part of the drain notice limit that a call for a pushed list waits for changes. The platform counts the proxy as
-/// notified of what its agent has at once, whatever became of the call.
+/// Part of the drain notice limit that a call for a pushed list waits for changes. The platform counts the
+/// proxy as notified of what its agent has at once, whatever became of the call.
 const PUSH_WAIT_DIVISOR: u32 = 2;
 /// Part of it that an answer of the agent may take.
 const PUSH_GRACE_DIVISOR: u32 = 4;
--- a/src/discovery/watch.rs
+++ b/src/discovery/watch.rs
@@ -18,7 +18,8 @@
 pub struct WatchSettings {
     /// A connection that is not up after this time counts as failed.
     pub connect_timeout: Duration,
-    /// Requests to a draining backend must cease this soon after it was listed so: what a lost call may delay.
+    /// Requests to a draining backend must cease this soon after it was listed so: what a lost call may
+    /// delay.
     pub drain_notice_limit: Duration,
     /// The proxy's index as a part of the proxy count, from 0 up to 1.
     pub fleet_position: f64,
--- a/src/estimators/token_bucket.rs
+++ b/src/estimators/token_bucket.rs
@@ -3,10 +3,10 @@
 use super::RATE_MEMORY;
 use crate::units::{Micros, Time};
 
-/// What a bucket holds at most, in time at its rate.
+/// What a bucket holds at most, in time at its rate: a client may send that much at once.
 const BURST: Micros = RATE_MEMORY;
 
-/// Starts full and holds what its rate yields in [`BURST`], at least one token.
+/// Starts full and holds what its rate yields in [`BURST`], at least one token; a rate of 0 never grants one.
 #[derive(Default)]
 pub(crate) struct TokenBucket {
     tokens: f64,
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -1,5 +1,5 @@
-//! Documents of the platform, mapped to the library's types. Their field names are read here and nowhere else; the
-//! simulator's messages are mapped by its adapter, HTTP headers by the proxy (`headers.rs`).
+//! Documents of the platform, mapped to the library's types. Their field names are read here and nowhere
+//! else; the simulator's messages are mapped by its adapter, HTTP headers by the proxy (`headers.rs`).
 
 pub mod endpoint_list;
 mod error;
--- a/src/wire/names.rs
+++ b/src/wire/names.rs
@@ -37,8 +37,8 @@
         self.tenants.get(name).copied()
     }
 
-    /// The update to `config`, whose classes and tenants have these names, from a configuration with the names `old`: each
-    /// class and tenant is mapped to its id before.
+    /// The update to `config`, whose classes and tenants have these names, from a configuration with the
+    /// names `old`: each class and tenant is mapped to its id before.
     pub fn update(&self, old: &Names, config: Config) -> ConfigUpdate {
         let mut previous_classes = vec![None; config.classes.len()];
         for (name, id) in &self.classes {
--- a/tests/balancer/support/rules.rs
+++ b/tests/balancer/support/rules.rs
@@ -7,7 +7,7 @@
 /// A request has its final answer so long after its deadline.
 const ANSWER_SLACK: Micros = Micros(16_000);
 
-/// An attempt may be dispatched to this backend now.
+/// Panics unless an attempt may be dispatched to this backend now.
 pub fn check_dispatch(config: &Config, request: &TrackedRequest, backend: &Backend, now: Time) {
     assert!(request.answer.is_none(), "sent after the final answer");
     assert_eq!(backend.state, BackendState::Ready, "sent to a backend that drains or is gone");
@@ -21,7 +21,7 @@
     }
 }
 
-/// A retry may be dispatched after this attempt, which may have been executed.
+/// Panics unless a retry may be dispatched after this attempt, which may have been executed.
 fn check_retry(idempotency: Idempotency, earlier: &Attempt, backend: &Backend, now: Time) {
     match idempotency {
         Idempotency::Idempotent => {}
@@ -38,7 +38,7 @@
     }
 }
 
-/// A request that may have been executed is rejected only where a client retry is harmless.
+/// Panics if a request that may have been executed is rejected though a client retry may do harm.
 pub fn check_rejection(request: &TrackedRequest) {
     let may_have_run = request.attempts.iter().any(Attempt::may_have_run);
     let is_retry_harmless = matches!(
@@ -48,13 +48,13 @@
     assert!(is_retry_harmless || !may_have_run, "rejected what may have run");
 }
 
-/// An attempt may be cancelled.
+/// Panics unless the attempt may be cancelled.
 pub fn check_cancellation(config: &Config, request: &TrackedRequest, attempt: usize) {
     assert!(config.can_cancel, "cancel is not allowed");
     assert!(attempt < request.attempts.len(), "cancelled what was never sent");
 }
 
-/// No request waits for its answer past its deadline.
+/// Panics if a request waits for its answer past its deadline.
 pub fn check_deadlines(requests: &BTreeMap<RequestId, TrackedRequest>, now: Time) {
     for (id, request) in requests {
         let is_waiting = request.answer.is_none() && !request.is_streaming;
