--- a/scale/src/backends/fleet.rs
+++ b/scale/src/backends/fleet.rs
@@ -164,7 +164,8 @@
 }
 
 /// The most requests that may reach a warming backend inside an overload window around this age: what it can
-/// bear and an allowance for the spread of random arrivals.
+/// bear, n, and an allowance for the spread of random arrivals, 2 sqrt(n) + 2. The platform's rule, written
+/// independently of the balancer's own on purpose.
 pub fn warming_limit(age: Duration, capacity_per_s: f64) -> f64 {
     let progress = (age.as_secs_f64() * 1e6 / SLOW_START_US as f64).min(1.0);
     let capacity_fraction = SLOW_START_INITIAL_FRACTION + (1.0 - SLOW_START_INITIAL_FRACTION) * progress;
--- a/scale/src/machine_limits.rs
+++ b/scale/src/machine_limits.rs
@@ -1,6 +1,6 @@
 //! Whether this machine can bear a plan: checked before anything starts.
 
-use crate::plan::{Kind, Plan, PlanError, Point};
+use crate::plan::{Plan, PlanError, PlanKind, Point};
 use std::io;
 
 /// Processes that a plan may start at once, this one counted.
@@ -90,22 +90,24 @@
 }
 
 /// The longest time that a point may take, in seconds.
-pub fn longest_duration_s(kind: Kind, point: &Point) -> f64 {
+pub fn longest_duration_s(kind: PlanKind, point: &Point) -> f64 {
     match kind {
-        Kind::Balancer => {
+        PlanKind::Balancer => {
             let items = f64::from(point.backends) + f64::from(point.classes) + f64::from(point.tenants);
             f64::from(point.seeds) * (SEED_S + SEED_ITEM_S * items)
         }
-        Kind::Real | Kind::Simulated => {
+        PlanKind::Real | PlanKind::Simulated => {
             let deadline_s = point.deadline_ms as f64 / 1e3;
             point.ready_s + point.rest_s + point.change_s + point.load_s + 2.0 * deadline_s + OVERHEAD_S
         }
     }
 }
 
-fn check_point(kind: Kind, number: usize, point: &Point, machine: MachineResources) -> Result<(), PlanError> {
+fn check_point(
+    kind: PlanKind, number: usize, point: &Point, machine: MachineResources,
+) -> Result<(), PlanError> {
     let path = |key: &str| format!("points[{number}].{key}");
-    if kind == Kind::Real && point.proxies >= MAX_PROCESSES {
+    if kind == PlanKind::Real && point.proxies >= MAX_PROCESSES {
         let expected = format!("expected fewer than {MAX_PROCESSES} processes");
         return Err(PlanError::new(path("proxies"), expected));
     }
@@ -131,27 +133,27 @@
 }
 
 /// Memory of all processes, in bytes.
-fn memory_needed(kind: Kind, point: &Point) -> f64 {
+fn memory_needed(kind: PlanKind, point: &Point) -> f64 {
     let names = f64::from(point.classes) + f64::from(point.tenants);
     let proxy = PROXY_BYTES + f64::from(point.backends) * ENTRY_BYTES + names * NAME_BYTES;
     let connections = match kind {
-        Kind::Real => f64::from(point.proxies) * f64::from(point.connections) * 2.0 * CONNECTION_BYTES,
-        Kind::Simulated | Kind::Balancer => 0.0,
+        PlanKind::Real => f64::from(point.proxies) * f64::from(point.connections) * 2.0 * CONNECTION_BYTES,
+        PlanKind::Simulated | PlanKind::Balancer => 0.0,
     };
     f64::from(point.proxies) * proxy + f64::from(point.backends) * BACKEND_BYTES + connections
 }
 
 /// Descriptors of this process.
-fn descriptors_needed(kind: Kind, point: &Point) -> u64 {
+fn descriptors_needed(kind: PlanKind, point: &Point) -> u64 {
     let proxies = u64::from(point.proxies);
     match kind {
         // A listener for each backend; clients' connections, and the proxies' connections to backends.
-        Kind::Real => {
+        PlanKind::Real => {
             let per_proxy = DESCRIPTORS_PER_PROXY + 2 * u64::from(point.connections);
             RESERVED_DESCRIPTORS + u64::from(point.backends) + proxies * per_proxy
         }
         // Both ends of a call of discovery are here.
-        Kind::Simulated => RESERVED_DESCRIPTORS + DESCRIPTORS_PER_PROXY * proxies,
-        Kind::Balancer => RESERVED_DESCRIPTORS,
+        PlanKind::Simulated => RESERVED_DESCRIPTORS + DESCRIPTORS_PER_PROXY * proxies,
+        PlanKind::Balancer => RESERVED_DESCRIPTORS,
     }
 }
--- a/scale/src/phase.rs
+++ b/scale/src/phase.rs
@@ -11,7 +11,7 @@
 
 /// What a phase took.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Phase {
+pub struct MeasuredPhase {
     /// How long it lasted, in seconds.
     pub seconds: f64,
     /// Processor time, in seconds.
@@ -23,7 +23,7 @@
 /// A phase, and what its work returned.
 pub struct Measured<T> {
     /// What the phase took.
-    pub phase: Phase,
+    pub phase: MeasuredPhase,
     /// What its work returned.
     pub output: T,
 }
@@ -39,10 +39,10 @@
     let discovery = discovery.counters().since(&discovery_before);
     let processor_s = processor_s().zip(processor_before).map(|(after, before)| after - before);
     let seconds = start.elapsed().as_secs_f64();
-    Measured { phase: Phase { seconds, processor_s, discovery }, output }
+    Measured { phase: MeasuredPhase { seconds, processor_s, discovery }, output }
 }
 
-impl Phase {
+impl MeasuredPhase {
     /// Bytes between proxies and discovery, both ways, a second.
     pub fn discovery_bytes_per_s(&self) -> Option<f64> {
         let bytes = self.discovery.bytes() as f64;
@@ -56,7 +56,7 @@
     }
 
     /// Processor time beyond that at rest for each of so many units, in microseconds.
-    pub fn cost_us(&self, rest: &Phase, units: f64) -> Option<f64> {
+    pub fn cost_us(&self, rest: &MeasuredPhase, units: f64) -> Option<f64> {
         let beyond_rest = self.processor_s? - rest.core_share().unwrap_or(0.0) * self.seconds;
         (units > 0.0).then_some(beyond_rest / units * 1e6)
     }
--- a/scale/src/plan.rs
+++ b/scale/src/plan.rs
@@ -23,8 +23,8 @@
 
 /// What the proxies of a plan are.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
-#[serde(rename_all = "lowercase")]
-pub enum Kind {
+#[serde(rename_all = "lowercase", expecting = "enum Kind")]
+pub enum PlanKind {
     /// Processes of the real program on loopback.
     Real,
     /// Simulated proxies, many in one process: the real decisions and the real watch, no client sockets.
@@ -35,13 +35,15 @@
     Balancer,
 }
 
+// The texts of `expecting` are part of the messages about bad plans and stay as people know them.
+
 /// A whole plan: the same fleet at several sizes.
 #[derive(Clone, Debug)]
 pub struct Plan {
     /// Names the plan in the results.
     pub name: String,
     /// What the proxies are.
-    pub kind: Kind,
+    pub kind: PlanKind,
     /// The field of a point that is its size: see [`Point::size`].
     pub over: String,
     /// The longest time that the whole of it may take, in seconds.
@@ -60,7 +62,7 @@
     pub label: String,
     /// Start of all random draws.
     pub seed: u64,
-    /// How often a plan of [`Kind::Balancer`] is run, each time with the next seed.
+    /// How often a plan of [`PlanKind::Balancer`] is run, each time with the next seed.
     pub seeds: u32,
     /// Entries of the endpoint list.
     pub backends: u32,
--- a/scale/src/plan_file.rs
+++ b/scale/src/plan_file.rs
@@ -1,6 +1,6 @@
 //! Reads a plan's file strictly: an error is one line that begins with the path of its key.
 
-use crate::plan::{Kind, Plan, PlanError, Point};
+use crate::plan::{Plan, PlanError, PlanKind, Point};
 use crate::plan_validation;
 use serde::de::DeserializeOwned;
 use serde::Deserialize;
@@ -12,7 +12,7 @@
 #[serde(deny_unknown_fields)]
 struct Head {
     name: String,
-    kind: Kind,
+    kind: PlanKind,
     over: String,
     longest_s: f64,
     #[serde(default)]
--- a/scale/src/plan_validation.rs
+++ b/scale/src/plan_validation.rs
@@ -1,6 +1,6 @@
 //! The range of each value of a plan.
 
-use crate::plan::{EventKind, Kind, Plan, PlanError, PlannedEvent, Point};
+use crate::plan::{EventKind, Plan, PlanError, PlanKind, PlannedEvent, Point};
 use std::ops::RangeInclusive;
 
 /// The longest time that any plan, or any phase of one, may take, in seconds.
@@ -24,7 +24,7 @@
 
 struct PointValidation<'a> {
     number: usize,
-    kind: Kind,
+    kind: PlanKind,
     point: &'a Point,
 }
 
@@ -113,7 +113,7 @@
         if !(is_duration(event.at_s) && is_duration(event.for_s) && ends_within_load) {
             return Err(PlanError::new(path, "expected at_s and for_s of 0 or more that end within load_s"));
         }
-        if event.what == EventKind::Return && self.kind != Kind::Simulated {
+        if event.what == EventKind::Return && self.kind != PlanKind::Simulated {
             let expected = "expected return only in a plan of kind hollow";
             return Err(PlanError::new(format!("{path}.what"), expected));
         }
--- a/scale/src/real_point/measurements.rs
+++ b/scale/src/real_point/measurements.rs
@@ -3,7 +3,7 @@
 use crate::backends::BackendCounters;
 use crate::clients::ClientCounters;
 use crate::discovery::DiscoveryCounters;
-use crate::phase::Phase;
+use crate::phase::MeasuredPhase;
 use std::time::Duration;
 
 /// What was measured of the point.
@@ -14,11 +14,11 @@
     pub memory: Option<f64>,
     /// The same after it.
     pub memory_after_load: Option<f64>,
-    pub rest: Phase,
-    pub change: Phase,
+    pub rest: MeasuredPhase,
+    pub change: MeasuredPhase,
     /// Entries that changed in the phase of changes.
     pub changed_entries: u64,
-    pub load: Phase,
+    pub load: MeasuredPhase,
     pub clients: ClientCounters,
     pub backends: BackendCounters,
     /// Of all phases, with the peaks of the load.
--- a/scale/src/runner.rs
+++ b/scale/src/runner.rs
@@ -1,7 +1,7 @@
 //! Runs the points of a plan one after the other and prints what came of them.
 
 use crate::balancer_point::{self, BalancerPointError};
-use crate::plan::{Kind, Plan, Point};
+use crate::plan::{Plan, PlanKind, Point};
 use crate::point_result::PointResult;
 use crate::real_point::{self, ProgramError, RealPointError, WorkDirectory, WorkDirectoryError};
 use crate::report;
@@ -148,9 +148,9 @@
 impl PointHost {
     fn new(plan: &Plan) -> Result<PointHost, RunError> {
         let proxies = match plan.kind {
-            Kind::Real => ProxyKind::Real { program: real_point::find_program(plan.program.as_deref())? },
-            Kind::Simulated => ProxyKind::Simulated,
-            Kind::Balancer => ProxyKind::Balancer,
+            PlanKind::Real => ProxyKind::Real { program: real_point::find_program(plan.program.as_deref())? },
+            PlanKind::Simulated => ProxyKind::Simulated,
+            PlanKind::Balancer => ProxyKind::Balancer,
         };
         Ok(PointHost { proxies, directory: WorkDirectory::create()? })
     }
--- a/scale/src/simulated_point/measurements.rs
+++ b/scale/src/simulated_point/measurements.rs
@@ -2,7 +2,7 @@
 
 use crate::backends::BackendCounters;
 use crate::latency::LatencyHistogram;
-use crate::phase::Phase;
+use crate::phase::MeasuredPhase;
 use crate::simulated_proxy::ProxyCounters;
 
 /// What was measured of the point.
@@ -12,12 +12,12 @@
     /// Proxies that had a list at the end of the start.
     pub ready_at_start: u64,
     pub time_to_ready: LatencyHistogram,
-    pub start: Phase,
-    pub rest: Phase,
-    pub change: Phase,
+    pub start: MeasuredPhase,
+    pub rest: MeasuredPhase,
+    pub change: MeasuredPhase,
     /// Entries that changed in the phase of changes.
     pub changed_entries: u64,
-    pub load: Phase,
+    pub load: MeasuredPhase,
     pub proxies: ProxyCounters,
     pub backends: BackendCounters,
 }
--- a/scale/src/simulated_proxy/context.rs
+++ b/scale/src/simulated_proxy/context.rs
@@ -12,7 +12,7 @@
 
 /// What the proxies are to do.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(super) enum Phase {
+pub(super) enum ProxyActivity {
     /// Follow the list.
     Idle,
     /// Take requests, too.
@@ -32,7 +32,7 @@
     /// The numbers of the backends by their ids.
     pub backend_numbers: Arc<HashMap<BackendId, usize>>,
     pub counters: SharedCounters,
-    pub phase: watch::Receiver<Phase>,
+    pub phase: watch::Receiver<ProxyActivity>,
     /// Where discovery listens.
     pub discovery: watch::Receiver<SocketAddr>,
     /// How often all proxies were restarted.
--- a/scale/src/simulated_proxy/endpoint_watch.rs
+++ b/scale/src/simulated_proxy/endpoint_watch.rs
@@ -38,7 +38,7 @@
             mode: config.discovery,
             connect_timeout: DIAL_TIMEOUT,
             drain_notice_limit: Duration::from_micros(STOP_SENDING_US),
-            fleet_position: f64::from(config.proxy_index) / f64::from(config.proxy_count),
+            fleet_position: config.fleet_position(),
             resubscribe: resubscribe.clone(),
             now: Box::new(move || clock.now()),
             deliver: Box::new(move |update, backends| {
--- a/scale/src/simulated_proxy/fleet.rs
+++ b/scale/src/simulated_proxy/fleet.rs
@@ -1,6 +1,6 @@
 //! The threads that share the simulated proxies of a point.
 
-use super::context::{Phase, ProxyContext};
+use super::context::{ProxyActivity, ProxyContext};
 use super::counters::{ProxyCounters, SharedCounters};
 use super::error::SimulationError;
 use super::proxy::Proxy;
@@ -22,7 +22,7 @@
 /// All simulated proxies of a point; dropping it ends their threads.
 pub struct ProxyFleet {
     counters: SharedCounters,
-    phase: watch::Sender<Phase>,
+    phase: watch::Sender<ProxyActivity>,
     discovery: watch::Sender<SocketAddr>,
     restarts: watch::Sender<u32>,
     threads: Vec<JoinHandle<()>>,
@@ -36,7 +36,7 @@
         discovery: SocketAddr,
     ) -> Result<ProxyFleet, SimulationError> {
         let counters = SharedCounters::new()?;
-        let (phase, phase_receiver) = watch::channel(Phase::Idle);
+        let (phase, phase_receiver) = watch::channel(ProxyActivity::Idle);
         let (discovery, discovery_receiver) = watch::channel(discovery);
         let (restarts, restarts_receiver) = watch::channel(0);
         let context = ProxyContext {
@@ -74,12 +74,12 @@
 
     /// Requests come for this time.
     pub fn start_load(&self, duration: Duration) {
-        self.phase.send_replace(Phase::Load { until: Instant::now() + duration });
+        self.phase.send_replace(ProxyActivity::Load { until: Instant::now() + duration });
     }
 
     /// All end once every request has its answer.
     pub fn shut_down(&self) {
-        self.phase.send_replace(Phase::Shutdown);
+        self.phase.send_replace(ProxyActivity::Shutdown);
     }
 
     /// Whether all have ended.
--- a/scale/src/simulated_proxy/proxy/arrivals.rs
+++ b/scale/src/simulated_proxy/proxy/arrivals.rs
@@ -1,6 +1,6 @@
 //! Requests that come to a simulated proxy.
 
-use super::{Deadline, OpenRequest, Phase, Proxy};
+use super::{Deadline, OpenRequest, Proxy, ProxyActivity};
 use load_balancer::{ClassId, Event, Micros, RequestArrival, RequestId, TenantId, Time};
 use std::collections::HashMap;
 
@@ -11,8 +11,8 @@
         let rate_per_s = point.rate_per_s / f64::from(point.proxies);
         let wait = Micros(self.random.interarrival_time(rate_per_s).as_micros() as u64);
         let load_ends_at = match *self.context.phase.borrow() {
-            Phase::Load { until } => self.clock.time_of(until),
-            Phase::Idle | Phase::Shutdown => Time(0),
+            ProxyActivity::Load { until } => self.clock.time_of(until),
+            ProxyActivity::Idle | ProxyActivity::Shutdown => Time(0),
         };
         self.next_arrival =
             self.next_arrival.map(|arrival| arrival + wait).filter(|arrival| *arrival < load_ends_at);
--- a/scale/src/simulated_proxy/proxy/mod.rs
+++ b/scale/src/simulated_proxy/proxy/mod.rs
@@ -6,7 +6,7 @@
 mod decisions;
 
 use super::clock::Clock;
-use super::context::{Phase, ProxyContext};
+use super::context::{ProxyActivity, ProxyContext};
 use super::endpoint_watch::{EndpointListChange, EndpointWatch};
 use super::error::SimulationError;
 use crate::platform::read_config;
@@ -120,7 +120,7 @@
                 () = tokio::time::sleep_until(wakeup) => {}
             }
             self.run_due_work();
-            if *self.context.phase.borrow() == Phase::Shutdown && self.has_answered_all() {
+            if *self.context.phase.borrow() == ProxyActivity::Shutdown && self.has_answered_all() {
                 return;
             }
         }
@@ -130,8 +130,8 @@
         self.requests.values().all(|request| request.is_answered)
     }
 
-    fn phase_began(&mut self, phase: Phase) {
-        if let Phase::Load { .. } = phase {
+    fn phase_began(&mut self, phase: ProxyActivity) {
+        if let ProxyActivity::Load { .. } = phase {
             self.next_arrival = Some(self.clock.now());
             self.schedule_next_arrival();
         }
--- a/src/bin/load-balancer-proxy/reload/mod.rs
+++ b/src/bin/load-balancer-proxy/reload/mod.rs
@@ -29,7 +29,7 @@
     WatchSettings {
         connect_timeout: duration(settings.connect_timeout),
         drain_notice_limit: duration(settings.drain_notice_limit),
-        fleet_position: f64::from(settings.balancer.proxy_index) / f64::from(settings.balancer.proxy_count),
+        fleet_position: settings.balancer.fleet_position(),
     }
 }
 
--- a/src/config.rs
+++ b/src/config.rs
@@ -78,6 +78,11 @@
         }
     }
 
+    /// The proxy's index as a part of the proxy count, from 0 up to 1.
+    pub fn fleet_position(&self) -> f64 {
+        f64::from(self.proxy_index) / f64::from(self.proxy_count)
+    }
+
     /// Fails with the first field that is out of its range.
     pub fn validate(&self) -> Result<(), ConfigError> {
         let tenants = &self.tenants;
