--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -4,7 +4,7 @@
 pub mod endpoint_list;
 mod error;
 pub mod names;
-pub mod object;
+mod object;
 pub mod proxy_config;
 pub mod settings;
 
--- a/src/wire/proxy_config.rs
+++ b/src/wire/proxy_config.rs
@@ -44,17 +44,21 @@
 }
 
 impl ProxyConfigMessage {
-    /// Reads the document; unknown keys are skipped.
+    /// Reads the document; unknown keys are skipped. Of several faults the first in this order is named.
     pub fn from_value(document: &Value) -> Result<ProxyConfigMessage, WireError> {
         let document = Object::root(document);
-        let limits = document.object("limits");
-        let max_file_descriptors = limits.required("sockets")?;
-        let settings = ProxySettingsMessage::decode(&document.object("settings"))?;
+        let max_file_descriptors = document.object("limits").required("sockets")?;
+        let settings = document.object("settings");
+        let balancer = decode_balancer(&settings)?;
+        let stop_sending_within = settings.object("rules").optional("stop_sending_within_us")?;
+        let seed: &str = document.required("seed")?;
+        let settings = decode_settings(&settings, balancer, stop_sending_within)?;
         let listen = decode_address(&document, "listen")?;
         let discovery = decode_address(&document, "discovery")?;
-        let seed = document.parsed("seed", "up to 16 hex digits", |hex| u64::from_str_radix(hex, 16).ok())?;
+        let seed =
+            u64::from_str_radix(seed, 16).map_err(|_| document.unexpected("seed", "up to 16 hex digits"))?;
         if max_file_descriptors < MIN_FILE_DESCRIPTORS {
-            return Err(limits.unexpected("sockets", "at least 64"));
+            return Err(document.object("limits").unexpected("sockets", "at least 64"));
         }
         let cached_list =
             if document.has("known") { Some(EndpointList::decode(&document.object("known"))?) } else { None };
@@ -62,22 +66,27 @@
     }
 }
 
-impl ProxySettingsMessage {
-    fn decode(settings: &Object) -> Result<ProxySettingsMessage, WireError> {
-        let balancer = SettingsMessage::decode(settings)?;
-        if let Err(error) = balancer.config.validate() {
-            let WireError { path, fault } = settings::config_error(&error);
-            return Err(settings.error(&path, fault));
-        }
-        let limits = settings.object("limits");
-        Ok(ProxySettingsMessage {
-            balancer,
-            stop_sending_within: settings.object("rules").optional("stop_sending_within_us")?,
-            max_open_requests: limits.required("open_cap")?,
-            idle_timeout: limits.required("conn_idle_us")?,
-            connect_timeout: limits.required("dial_timeout_us")?,
-        })
+/// The settings of the balancer; their configuration is sound.
+fn decode_balancer(settings: &Object) -> Result<SettingsMessage, WireError> {
+    let balancer = SettingsMessage::decode(settings)?;
+    if let Err(error) = balancer.config.validate() {
+        let WireError { path, fault } = settings::config_error(&error);
+        return Err(settings.error(&path, fault));
     }
+    Ok(balancer)
+}
+
+fn decode_settings(
+    settings: &Object, balancer: SettingsMessage, stop_sending_within: Option<Micros>,
+) -> Result<ProxySettingsMessage, WireError> {
+    let limits = settings.object("limits");
+    Ok(ProxySettingsMessage {
+        balancer,
+        stop_sending_within,
+        max_open_requests: limits.required("open_cap")?,
+        idle_timeout: limits.required("conn_idle_us")?,
+        connect_timeout: limits.required("dial_timeout_us")?,
+    })
 }
 
 fn decode_address(document: &Object, key: &str) -> Result<SocketAddr, WireError> {
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -152,3 +152,28 @@
         assert_eq!(ProxyConfigMessage::from_value(&document).unwrap_err().to_string(), message);
     }
 }
+
+/// Guards against documents with several faults that name another one than before.
+#[test]
+fn of_several_faults_the_first_in_order_is_named() {
+    let bad_cap = changed(&proxy_config(), "/settings/limits/open_cap", json!("x"));
+    let cases = [
+        (changed(&bad_cap, "/seed", json!(5)), "seed: expected text, got 5"),
+        (
+            changed(&bad_cap, "/seed", json!("xyz")),
+            "settings.limits.open_cap: expected a whole number, got \"x\"",
+        ),
+        (
+            changed(&bad_cap, "/listen", json!(5)),
+            "settings.limits.open_cap: expected a whole number, got \"x\"",
+        ),
+        (
+            changed(&bad_cap, "/limits/sockets", json!(1)),
+            "settings.limits.open_cap: expected a whole number, got \"x\"",
+        ),
+    ];
+    for (document, expected) in cases {
+        let error = ProxyConfigMessage::from_value(&document).unwrap_err();
+        assert_eq!(error.to_string(), expected);
+    }
+}
