--- a/scale/src/real_point/figures.rs
+++ b/scale/src/real_point/figures.rs
@@ -62,7 +62,7 @@
 
 fn request_figures(measurements: &Measurements) -> Vec<Figure> {
     let Measurements { clients, backends, .. } = measurements;
-    vec![
+    let mut figures = vec![
         Figure::count("planned", clients.planned),
         Figure::count("served", clients.served),
         Figure::count("refused", clients.rejected),
@@ -71,10 +71,9 @@
         Figure::count("unsent", clients.unsent),
         Figure::count("crossed", clients.resent),
         Figure::count("connections_to_backends", backends.connections),
-        Figure::count("sent_to_draining", backends.rejected),
-        Figure::count("sent_to_draining_late", backends.late),
-        Figure::new("cold_sum_of_limit", Some(backends.warming_peak_of_limit)),
-    ]
+    ];
+    figures.extend(backends.figures());
+    figures
 }
 
 fn checks(measurements: &Measurements) -> Vec<Check> {
@@ -93,11 +92,7 @@
             holds: clients.planned == 0 || clients.served > 0,
             seen: format!("{} of {}", clients.served, clients.planned),
         },
-        Check {
-            name: "nothing reaches a draining backend past the limit and the slack",
-            holds: backends.late == 0,
-            seen: format!("{} late of {} while draining", backends.late, backends.rejected),
-        },
+        backends.drain_check(),
         Check {
             name: "SIGTERM ends every proxy with code 0",
             holds: clean_exits == exit_codes.len(),
--- a/scale/src/simulated_point/figures.rs
+++ b/scale/src/simulated_point/figures.rs
@@ -69,7 +69,7 @@
 
 fn request_figures(measurements: &Measurements) -> Vec<Figure> {
     let Measurements { proxies, backends, .. } = measurements;
-    vec![
+    let mut figures = vec![
         Figure::count("planned", proxies.planned),
         Figure::count("served", proxies.served),
         Figure::count("refused", proxies.rejected),
@@ -78,10 +78,9 @@
         Figure::count("came_while_unready", proxies.arrived_unready),
         Figure::count("attempts", proxies.attempts),
         Figure::count("lost_calls", proxies.subscriptions_lost),
-        Figure::count("sent_to_draining", backends.rejected),
-        Figure::count("sent_to_draining_late", backends.late),
-        Figure::new("cold_sum_of_limit", Some(backends.warming_peak_of_limit)),
-    ]
+    ];
+    figures.extend(backends.figures());
+    figures
 }
 
 fn checks(point: &Point, measurements: &Measurements) -> Vec<Check> {
@@ -101,10 +100,6 @@
             holds: answers == owed && proxies.unanswered == 0 && proxies.answered_twice == 0,
             seen: format!("{answers} answers to {owed}, {} twice", proxies.answered_twice),
         },
-        Check {
-            name: "nothing reaches a draining backend past the limit and the slack",
-            holds: backends.late == 0,
-            seen: format!("{} late of {} while draining", backends.late, backends.rejected),
-        },
+        backends.drain_check(),
     ]
 }
