--- a/src/bin/simulator-adapter/error.rs
+++ b/src/bin/simulator-adapter/error.rs
@@ -1,50 +1,50 @@
-//! What ends the adapter: a line that is not of the protocol, or a broken stream.
+//! Errors that end the adapter: an invalid input line, or a failed read or write.
 
 use crate::messages::BATCH_START;
 use std::io;
 
-/// Why the adapter ended early.
+/// An error that ends the adapter.
 #[derive(Debug, thiserror::Error)]
 pub enum AdapterError {
-    /// A line, counted from 1, could not be read.
+    /// Standard input could not be read; `number` is the line, counted from 1.
     #[error("line {number}: {source}")]
-    Read { number: u64, source: io::Error },
-    /// A line, counted from 1, is not of the protocol.
+    ReadLine { number: u64, source: io::Error },
+    /// A line violates the protocol; `number` is the line, counted from 1.
     #[error("line {number}: {source}")]
-    Line { number: u64, source: ProtocolError },
-    /// The reply to the batch that this line ended could not be written.
+    InvalidLine { number: u64, source: ProtocolError },
+    /// The reply to the batch that ends at line `number` could not be written.
     #[error("reply after line {number}: {source}")]
-    Reply { number: u64, source: io::Error },
+    WriteReply { number: u64, source: io::Error },
 }
 
-/// What is wrong with a line.
+/// Why a line violates the protocol.
 #[derive(Debug, thiserror::Error)]
 pub enum ProtocolError {
-    /// It is no JSON.
+    /// The line is not valid JSON.
     #[error("expected a JSON array: {0}")]
     NotJson(serde_json::Error),
-    /// It is no array.
+    /// The line is valid JSON, but not an array.
     #[error("expected a JSON array")]
     NotArray,
-    /// The array does not begin with a text.
-    #[error("expected a message name first")]
+    /// The first element of the array is not a string.
+    #[error("expected a message name as the first element")]
     NoMessageName,
-    /// The name is none of the protocol's.
+    /// The protocol has no message of this name.
     #[error("unknown message {0}")]
     UnknownMessage(String),
-    /// The message has too many values or too few.
+    /// The message has too many or too few values.
     #[error("{message}: expected {expected} values, got {got}")]
     ValueCount { message: &'static str, expected: usize, got: usize },
-    /// The message comes outside a batch.
-    #[error("{message}: expected {BATCH_START} first")]
+    /// The message is only allowed within a batch.
+    #[error("{message} outside a batch: expected {BATCH_START} first")]
     OutsideBatch { message: &'static str },
-    /// A value is not what it should be.
+    /// A value has the wrong type or is out of range; `position` counts from 0.
     #[error("{message}: value {position}: expected {expected}, got {got}")]
-    Value { message: &'static str, position: usize, expected: &'static str, got: String },
-    /// An entry of an endpoint list is not what it should be.
+    InvalidValue { message: &'static str, position: usize, expected: &'static str, got: String },
+    /// An entry of an endpoint list is malformed.
     #[error("list entry {entry}: expected {expected}")]
-    ListEntry { entry: String, expected: &'static str },
-    /// Two addresses have one identifier; requests for one backend would go to the other.
-    #[error("list entry {entry}: its address has the number of {other}")]
+    InvalidListEntry { entry: String, expected: &'static str },
+    /// Two addresses hash to the same identifier, so requests for one backend would go to the other.
+    #[error("list entry {entry}: its address hashes to the same identifier as {other}")]
     AddressCollision { entry: String, other: String },
 }
--- a/src/bin/simulator-adapter/events.rs
+++ b/src/bin/simulator-adapter/events.rs
@@ -1,21 +1,23 @@
-//! Messages to an instance as events of its balancer.
+//! Translates messages to an instance into events for its balancer.
 
+use crate::endpoint_lists::EndpointLists;
 use crate::error::ProtocolError;
 use crate::messages::{Message, MessageKind};
-use crate::rosters::Rosters;
 use load_balancer::wire::names::Names;
 use load_balancer::{AttemptResult, EndpointListUpdate, Event, Micros, RequestArrival, TimerToken};
 use serde_json::Value;
 
-/// The client has said how much work it expects.
+/// Flag of a request: the client states the expected work.
 const FLAG_EXPECTED_WORK: u64 = 1;
-/// The client has sent the request before.
+/// Flag of a request: the client is retrying it.
 const FLAG_CLIENT_RETRY: u64 = 2;
 
-/// The event that a message stands for; `None` where it concerns no balancer.
-pub fn decode(message: &Message, names: &Names, rosters: &Rosters) -> Result<Option<Event>, ProtocolError> {
+/// Translates a message into an event; returns `None` for a message that is not meant for a balancer.
+pub fn decode(
+    message: &Message, names: &Names, endpoint_lists: &EndpointLists,
+) -> Result<Option<Event>, ProtocolError> {
     match message.kind {
-        MessageKind::EndpointListChanged => endpoint_list_changed(message, rosters).map(Some),
+        MessageKind::EndpointListChanged => endpoint_list_changed(message, endpoint_lists).map(Some),
         MessageKind::RequestArrived => request_arrived(message, names).map(Some),
         MessageKind::ResponseStarted => response_started(message).map(Some),
         MessageKind::AttemptEnded => attempt_ended(message).map(Some),
@@ -25,7 +27,7 @@
         }
         MessageKind::TimerFired => {
             let [_, token] = message.fields();
-            Ok(Some(Event::TimerFired { token: TimerToken(token.whole_number("a token")?) }))
+            Ok(Some(Event::TimerFired { token: TimerToken(token.unsigned_integer("a timer token")?) }))
         }
         MessageKind::BatchStarted
         | MessageKind::BatchEnded
@@ -37,9 +39,9 @@
     }
 }
 
-fn endpoint_list_changed(message: &Message, rosters: &Rosters) -> Result<Event, ProtocolError> {
-    let [_, roster, _, update] = message.fields();
-    let update = match update.text("a list kind")? {
+fn endpoint_list_changed(message: &Message, endpoint_lists: &EndpointLists) -> Result<Event, ProtocolError> {
+    let [_, list_number, _, update] = message.fields();
+    let update = match update.string("a kind of list update")? {
         "incr" => EndpointListUpdate::Delta,
         "total" => EndpointListUpdate::Snapshot,
         "warm_copy" => EndpointListUpdate::Cached,
@@ -49,8 +51,8 @@
     let backends = if update == EndpointListUpdate::SubscriptionLost {
         Vec::new()
     } else {
-        let list = rosters.list(roster.whole_number("a roster number")?);
-        list.ok_or_else(|| roster.unexpected("a known roster number"))?.to_vec()
+        let list = endpoint_lists.list(list_number.unsigned_integer("an endpoint list number")?);
+        list.ok_or_else(|| list_number.unexpected("a known endpoint list number"))?.to_vec()
     };
     Ok(Event::EndpointListChanged { update, backends })
 }
@@ -70,7 +72,7 @@
             }
             _ => None,
         },
-        class: names.class(class.text("a class")?).ok_or_else(|| class.unexpected("a known class"))?,
+        class: names.class(class.string("a class name")?).ok_or_else(|| class.unexpected("a known class"))?,
     }))
 }
 
@@ -81,12 +83,12 @@
 
 fn attempt_ended(message: &Message) -> Result<Event, ProtocolError> {
     let [_, request, attempt, backend, outcome, latency, answered, _] = message.fields();
-    backend.text("a backend")?;
+    backend.string("a backend address")?;
     Ok(Event::AttemptEnded(AttemptResult {
         request: request.request()?,
         attempt: attempt.attempt()?,
         outcome: outcome.outcome()?,
-        latency: latency.micros("a time in microseconds")?,
-        answered: answered.flag("true or false")?,
+        latency: latency.micros("a latency in microseconds")?,
+        answered: answered.boolean("true or false")?,
     }))
 }
--- a/src/bin/simulator-adapter/host.rs
+++ b/src/bin/simulator-adapter/host.rs
@@ -1,38 +1,38 @@
-//! One line of input after another: batches, endpoint lists, and messages to instances.
+//! Handles input lines: batch boundaries, endpoint lists and messages to instances.
 
+use crate::endpoint_lists::EndpointLists;
 use crate::error::ProtocolError;
 use crate::instances::Instances;
 use crate::messages::{Message, MessageKind};
 use crate::replies::write_batch_end;
-use crate::rosters::Rosters;
 use load_balancer::Time;
 use serde_json::Value;
 
-/// What a line has done to its batch.
+/// State of the batch after a line.
 pub enum LineOutcome {
-    /// More lines follow.
+    /// The batch continues.
     BatchOpen,
-    /// The reply is complete.
+    /// The batch has ended and its reply is complete.
     BatchEnded,
 }
 
-/// Everything that this process plays.
+/// The simulated proxies of this process and the endpoint lists that they share.
 #[derive(Default)]
 pub struct Host {
     instances: Instances,
-    rosters: Rosters,
-    /// The clock of the open batch.
+    endpoint_lists: EndpointLists,
+    /// Simulated time of the current batch; `None` between batches.
     now: Option<Time>,
 }
 
 impl Host {
-    /// Takes one line and adds what follows from it to the reply.
+    /// Handles one line and appends the resulting output lines to `reply`.
     pub fn handle_line(&mut self, line: &str, reply: &mut Vec<u8>) -> Result<LineOutcome, ProtocolError> {
         let line: Value = serde_json::from_str(line).map_err(ProtocolError::NotJson)?;
         let message = Message::parse(&line)?;
         if message.kind == MessageKind::BatchStarted {
             let [clock] = message.fields();
-            self.now = Some(Time(clock.whole_number("the clock in microseconds")?));
+            self.now = Some(Time(clock.unsigned_integer("the clock in microseconds")?));
             return Ok(LineOutcome::BatchOpen);
         }
         let now = self.now.ok_or(ProtocolError::OutsideBatch { message: message.name })?;
@@ -42,10 +42,10 @@
                 write_batch_end(reply);
                 return Ok(LineOutcome::BatchEnded);
             }
-            MessageKind::ListEntries => self.rosters.replace(&message)?,
+            MessageKind::ListEntries => self.endpoint_lists.replace(&message)?,
             MessageKind::InstanceCreated => self.instances.create(&message, reply)?,
             MessageKind::InstanceKilled => self.instances.kill(&message)?,
-            _ => self.instances.handle(now, &message, &self.rosters, reply)?,
+            _ => self.instances.handle(now, &message, &self.endpoint_lists, reply)?,
         }
         Ok(LineOutcome::BatchOpen)
     }
--- a/src/bin/simulator-adapter/main.rs
+++ b/src/bin/simulator-adapter/main.rs
@@ -1,13 +1,13 @@
-//! Speaks the simulator's protocol on standard input and output, with one [`load_balancer::Balancer`] per
-//! instance. Translation only; every decision is the library's.
+//! Connects the simulator to the library. It reads the simulator's messages from standard input, passes them
+//! to one [`load_balancer::Balancer`] per simulated proxy and writes the resulting actions to standard output.
 
+mod endpoint_lists;
 mod error;
 mod events;
 mod host;
 mod instances;
 mod messages;
 mod replies;
-mod rosters;
 
 use error::AdapterError;
 use host::{Host, LineOutcome};
@@ -26,7 +26,7 @@
     }
 }
 
-/// Takes lines until the end of the input; replies once for each batch.
+/// Handles lines until the end of the input and writes one reply per batch.
 fn run(mut input: impl BufRead, mut output: impl Write) -> Result<(), AdapterError> {
     let mut host = Host::default();
     let mut line = String::new();
@@ -35,16 +35,17 @@
     loop {
         line.clear();
         number += 1;
-        let length = input.read_line(&mut line).map_err(|source| AdapterError::Read { number, source })?;
+        let length =
+            input.read_line(&mut line).map_err(|source| AdapterError::ReadLine { number, source })?;
         if length == 0 {
             return Ok(());
         }
         let outcome = host.handle_line(line.trim_end(), &mut reply);
-        match outcome.map_err(|source| AdapterError::Line { number, source })? {
+        match outcome.map_err(|source| AdapterError::InvalidLine { number, source })? {
             LineOutcome::BatchOpen => {}
             LineOutcome::BatchEnded => {
                 let written = output.write_all(&reply).and_then(|()| output.flush());
-                written.map_err(|source| AdapterError::Reply { number, source })?;
+                written.map_err(|source| AdapterError::WriteReply { number, source })?;
                 reply.clear();
             }
         }
--- a/src/bin/simulator-adapter/messages.rs
+++ b/src/bin/simulator-adapter/messages.rs
@@ -1,89 +1,89 @@
-//! Incoming messages: their names, how many values each has, and typed access to those values.
+//! Incoming messages: names, number of values and typed access to the values.
 
 use crate::error::ProtocolError;
 use load_balancer::{AttemptNumber, Micros, Outcome, RequestId};
 use serde_json::Value;
 
-/// The name of the message that starts a batch.
+/// Wire name of the message that starts a batch.
 pub const BATCH_START: &str = "TICK";
 
-/// What a message says.
+/// Kind of an incoming message.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum MessageKind {
-    /// A batch starts, and the clock is this.
+    /// Start of a batch, with the current simulated time.
     BatchStarted,
-    /// The batch is complete and wants its reply.
+    /// End of a batch; the simulator waits for the reply.
     BatchEnded,
-    /// The entries of a numbered endpoint list.
+    /// Entries of a numbered endpoint list.
     ListEntries,
-    /// A proxy starts.
+    /// A proxy starts, with its seed and settings.
     InstanceCreated,
     /// A proxy is killed.
     InstanceKilled,
-    /// A proxy is given a numbered list, or loses its subscription.
+    /// A proxy receives a numbered endpoint list, or loses its subscription.
     EndpointListChanged,
-    /// A client's request arrives.
+    /// A request from a client arrives.
     RequestArrived,
-    /// A response begins to stream.
+    /// A backend starts to send its response.
     ResponseStarted,
-    /// An attempt has ended.
+    /// An attempt ended.
     AttemptEnded,
-    /// A client leaves.
+    /// A client disconnected.
     ClientDisconnected,
-    /// A timer fires.
+    /// A timer fired.
     TimerFired,
-    /// Another proxy has sent a message; the balancer sends none.
+    /// A message from another proxy; ignored, as the balancer sends none.
     PeerMessage,
-    /// A probe was answered; the balancer sends none.
+    /// The answer to a probe; ignored, as the balancer sends no probes.
     ProbeAnswered,
 }
 
-/// What the protocol lays down for the messages of one name.
-struct MessageForm {
+/// Name, kind and number of values of a message in the protocol.
+struct MessageSpec {
     name: &'static str,
     kind: MessageKind,
     value_count: usize,
 }
 
-const fn form(name: &'static str, kind: MessageKind, value_count: usize) -> MessageForm {
-    MessageForm { name, kind, value_count }
+const fn spec(name: &'static str, kind: MessageKind, value_count: usize) -> MessageSpec {
+    MessageSpec { name, kind, value_count }
 }
 
-const MESSAGE_FORMS: [MessageForm; 13] = [
-    form(BATCH_START, MessageKind::BatchStarted, 1),
-    form("END", MessageKind::BatchEnded, 0),
-    form("SNAPSHOT_ROWS", MessageKind::ListEntries, 2),
-    form("CREATE", MessageKind::InstanceCreated, 3),
-    form("KILLED", MessageKind::InstanceKilled, 1),
-    form("VIEW", MessageKind::EndpointListChanged, 4),
-    form("JOB_IN", MessageKind::RequestArrived, 8),
-    form("ESTABLISHED", MessageKind::ResponseStarted, 5),
-    form("RETURNED", MessageKind::AttemptEnded, 8),
-    form("VANISHED", MessageKind::ClientDisconnected, 2),
-    form("TIMEOUT_FIRED", MessageKind::TimerFired, 2),
-    form("MEMO", MessageKind::PeerMessage, 3),
-    form("STATUS_BACK", MessageKind::ProbeAnswered, 5),
+const MESSAGE_SPECS: [MessageSpec; 13] = [
+    spec(BATCH_START, MessageKind::BatchStarted, 1),
+    spec("END", MessageKind::BatchEnded, 0),
+    spec("SNAPSHOT_ROWS", MessageKind::ListEntries, 2),
+    spec("CREATE", MessageKind::InstanceCreated, 3),
+    spec("KILLED", MessageKind::InstanceKilled, 1),
+    spec("VIEW", MessageKind::EndpointListChanged, 4),
+    spec("JOB_IN", MessageKind::RequestArrived, 8),
+    spec("ESTABLISHED", MessageKind::ResponseStarted, 5),
+    spec("RETURNED", MessageKind::AttemptEnded, 8),
+    spec("VANISHED", MessageKind::ClientDisconnected, 2),
+    spec("TIMEOUT_FIRED", MessageKind::TimerFired, 2),
+    spec("MEMO", MessageKind::PeerMessage, 3),
+    spec("STATUS_BACK", MessageKind::ProbeAnswered, 5),
 ];
 
-/// A message with as many values as its name asks for; the values are not looked at yet.
+/// A message with the number of values that its kind requires. The values themselves are not checked yet.
 pub struct Message<'a> {
-    /// What it says.
+    /// Kind of the message.
     pub kind: MessageKind,
-    /// Its name on the wire.
+    /// Wire name of the message.
     pub name: &'static str,
     values: &'a [Value],
 }
 
 impl<'a> Message<'a> {
-    /// Reads the name of a line.
+    /// Parses the message name and checks the number of values.
     pub fn parse(line: &'a Value) -> Result<Message<'a>, ProtocolError> {
         let (name, values) = match line.as_array().ok_or(ProtocolError::NotArray)?.split_first() {
             Some((Value::String(name), values)) => (name, values),
             _ => return Err(ProtocolError::NoMessageName),
         };
-        let form = MESSAGE_FORMS.iter().find(|form| form.name == name);
-        let form = form.ok_or_else(|| ProtocolError::UnknownMessage(name.clone()))?;
-        let &MessageForm { name, kind, value_count } = form;
+        let spec = MESSAGE_SPECS.iter().find(|spec| spec.name == name);
+        let spec = spec.ok_or_else(|| ProtocolError::UnknownMessage(name.clone()))?;
+        let &MessageSpec { name, kind, value_count } = spec;
         if values.len() != value_count {
             return Err(ProtocolError::ValueCount {
                 message: name,
@@ -94,12 +94,12 @@
         Ok(Message { kind, name, values })
     }
 
-    /// The values in order.
+    /// Returns the first `COUNT` values, in order.
     pub fn fields<const COUNT: usize>(&self) -> [Field<'a>; COUNT] {
         std::array::from_fn(|position| self.field(position))
     }
 
-    /// The value at a position, from 0.
+    /// Returns the value at `position`, counted from 0; null past the last value.
     pub fn field(&self, position: usize) -> Field<'a> {
         let value = self.values.get(position).unwrap_or(&Value::Null);
         Field { message: self.name, position, value }
@@ -110,14 +110,14 @@
 pub struct Field<'a> {
     message: &'static str,
     position: usize,
-    /// The value as it came.
+    /// The raw JSON value.
     pub value: &'a Value,
 }
 
 impl<'a> Field<'a> {
-    /// The error of a value that is not what was expected.
+    /// Returns the error for a value that is not `expected`.
     pub fn unexpected(&self, expected: &'static str) -> ProtocolError {
-        ProtocolError::Value {
+        ProtocolError::InvalidValue {
             message: self.message,
             position: self.position,
             expected,
@@ -125,53 +125,53 @@
         }
     }
 
-    /// A text.
-    pub fn text(&self, expected: &'static str) -> Result<&'a str, ProtocolError> {
+    /// Returns the value as a string.
+    pub fn string(&self, expected: &'static str) -> Result<&'a str, ProtocolError> {
         self.value.as_str().ok_or_else(|| self.unexpected(expected))
     }
 
-    /// A whole number of 0 or more.
-    pub fn whole_number(&self, expected: &'static str) -> Result<u64, ProtocolError> {
+    /// Returns the value as an unsigned integer.
+    pub fn unsigned_integer(&self, expected: &'static str) -> Result<u64, ProtocolError> {
         self.value.as_u64().ok_or_else(|| self.unexpected(expected))
     }
 
-    /// A span of time.
+    /// Returns the value as a duration in microseconds.
     pub fn micros(&self, expected: &'static str) -> Result<Micros, ProtocolError> {
-        self.whole_number(expected).map(Micros)
+        self.unsigned_integer(expected).map(Micros)
     }
 
-    /// True or false.
-    pub fn flag(&self, expected: &'static str) -> Result<bool, ProtocolError> {
+    /// Returns the value as a boolean.
+    pub fn boolean(&self, expected: &'static str) -> Result<bool, ProtocolError> {
         self.value.as_bool().ok_or_else(|| self.unexpected(expected))
     }
 
-    /// An array.
+    /// Returns the value as an array.
     pub fn array(&self, expected: &'static str) -> Result<&'a [Value], ProtocolError> {
         self.value.as_array().map(Vec::as_slice).ok_or_else(|| self.unexpected(expected))
     }
 
-    /// The name of an instance.
+    /// Returns the value as an instance name, without checking its format.
     pub fn instance(&self) -> Result<&'a str, ProtocolError> {
-        self.text("an instance")
+        self.string("an instance name")
     }
 
-    /// A request, by its 16 lower-case hex digits.
+    /// Parses a request id: exactly 16 lower-case hex digits.
     pub fn request(&self) -> Result<RequestId, ProtocolError> {
-        let text = self.text("a request id of 16 hex digits")?;
+        let text = self.string("a request id of 16 lower-case hex digits")?;
         let is_canonical = text.len() == 16 && text.bytes().all(|b| matches!(b, b'0'..=b'9' | b'a'..=b'f'));
         let id = if is_canonical { u64::from_str_radix(text, 16).ok() } else { None };
         id.map(RequestId).ok_or_else(|| self.unexpected("a request id of 16 lower-case hex digits"))
     }
 
-    /// An attempt, by its number within the request.
+    /// Returns the number of an attempt within its request.
     pub fn attempt(&self) -> Result<AttemptNumber, ProtocolError> {
-        Ok(AttemptNumber(self.whole_number("an attempt")? as u32))
+        Ok(AttemptNumber(self.unsigned_integer("an attempt number")? as u32))
     }
 
-    /// How an attempt ended, by its code.
+    /// Decodes the outcome code of an attempt.
     pub fn outcome(&self) -> Result<Outcome, ProtocolError> {
         let expected = "an outcome code from 0 to 7";
-        match self.whole_number(expected)? {
+        match self.unsigned_integer(expected)? {
             0 => Ok(Outcome::ErrorResponse),
             1 => Ok(Outcome::Success),
             2 => Ok(Outcome::Rejected),
--- a/src/bin/simulator-adapter/replies.rs
+++ b/src/bin/simulator-adapter/replies.rs
@@ -1,29 +1,29 @@
-//! Actions of balancers as lines of a reply.
+//! Writes the actions of balancers as lines of a reply.
 //!
-//! The names of instances and the addresses of backends were checked to hold nothing that JSON would escape,
-//! so most lines are formatted directly.
+//! Instance names and backend addresses are checked on input to contain no characters that JSON escapes, so
+//! most lines are formatted without a JSON encoder.
 
-use crate::rosters::Rosters;
+use crate::endpoint_lists::EndpointLists;
 use load_balancer::wire::WireError;
 use load_balancer::Action;
 use serde_json::{json, Value};
 use std::io::Write;
 
-/// Ends the reply to a batch.
+/// Writes the line that ends the reply to a batch.
 pub fn write_batch_end(reply: &mut Vec<u8>) {
     write_line(reply, format_args!("[\"YIELD\"]"));
 }
 
-/// Reports settings that no balancer can go by.
-pub fn write_broken_settings(reply: &mut Vec<u8>, instance: &str, error: &WireError) {
+/// Reports that the settings of an instance are invalid.
+pub fn write_invalid_settings(reply: &mut Vec<u8>, instance: &str, error: &WireError) {
     write_json(reply, &json!(["BROKEN", instance, format!("settings: {error}")]));
 }
 
-/// Asks for what a balancer wants done.
-pub fn write_action(reply: &mut Vec<u8>, instance: &str, rosters: &Rosters, action: &Action) {
+/// Writes the line for an action of a balancer.
+pub fn write_action(reply: &mut Vec<u8>, instance: &str, endpoint_lists: &EndpointLists, action: &Action) {
     match action {
         Action::Dispatch { request, backend, .. } => {
-            let address = rosters.address(*backend);
+            let address = endpoint_lists.address(*backend);
             let request = request.0;
             write_line(
                 reply,
@@ -53,6 +53,6 @@
 }
 
 fn write_line(reply: &mut Vec<u8>, line: std::fmt::Arguments) {
-    // Writing to memory does not fail.
+    // Writing to a `Vec` cannot fail.
     let _ = writeln!(reply, "{line}");
 }
--- a/tests/simulator_adapter.rs
+++ b/tests/simulator_adapter.rs
@@ -1,4 +1,4 @@
-//! The simulator adapter: what it writes for the lines that it reads.
+//! The simulator adapter as a process: its output and exit status for given input.
 
 use std::io::Write;
 use std::process::{Command, Stdio};
@@ -22,7 +22,7 @@
 ["VIEW","proxy-3",0,4,"warm_copy"]
 "#;
 
-/// How a run of the adapter ended.
+/// Output and exit status of a run of the adapter.
 #[derive(Debug, PartialEq)]
 struct Run {
     output: String,
@@ -30,7 +30,7 @@
     is_success: bool,
 }
 
-/// Runs the adapter on `input`.
+/// Runs the adapter with `input` as its standard input.
 fn run(input: &str) -> Run {
     let mut child = Command::new(env!("CARGO_BIN_EXE_simulator-adapter"))
         .stdin(Stdio::piped())
@@ -39,42 +39,44 @@
         .spawn()
         .unwrap();
     let mut stdin = child.stdin.take().unwrap();
-    let _ = stdin.write_all(input.as_bytes()); // it may have ended on an early line
+    // A write error is ignored: the adapter may have exited at an earlier line.
+    let _ = stdin.write_all(input.as_bytes());
     drop(stdin);
     let out = child.wait_with_output().unwrap();
     let text = |bytes| String::from_utf8(bytes).unwrap();
     Run { output: text(out.stdout), error: text(out.stderr), is_success: out.status.success() }
 }
 
-/// Guards against output without input, and an end of input that passes for a failure.
+/// Guards against output for an empty batch other than its end, and against failure at the end of input.
 #[test]
-fn an_empty_batch_gets_an_empty_reply_and_the_end_of_input_is_clean() {
-    let clean = |output: &str| Run { output: output.into(), error: String::new(), is_success: true };
-    assert_eq!(run("[\"TICK\",5]\n[\"END\"]\n"), clean("[\"YIELD\"]\n"));
-    assert_eq!(run(""), clean(""));
+fn an_empty_batch_yields_and_the_end_of_input_succeeds() {
+    let success = |output: &str| Run { output: output.into(), error: String::new(), is_success: true };
+    assert_eq!(run("[\"TICK\",5]\n[\"END\"]\n"), success("[\"YIELD\"]\n"));
+    assert_eq!(run(""), success(""));
 }
 
-/// Guards against a request that is dispatched twice, or stays open after its answer.
+/// Guards against a request that is dispatched twice, also after its response.
 #[test]
-fn a_request_is_handed_off_and_its_answer_closes_it() {
-    let job = r#"["JOB_IN","proxy-3","00000000000000ab",null,900000,null,"north",0,"read"]"#;
-    let done = r#"["RETURNED","proxy-3","00000000000000ab",0,"10.0.0.1:80",1,900,true,{"active":3,"new":1}]"#;
+fn a_request_is_dispatched_once() {
+    let request = r#"["JOB_IN","proxy-3","00000000000000ab",null,900000,null,"north",0,"read"]"#;
+    let attempt_ended =
+        r#"["RETURNED","proxy-3","00000000000000ab",0,"10.0.0.1:80",1,900,true,{"active":3,"new":1}]"#;
     let input = format!(
-        "[\"TICK\",1000]\n{}{LIST}[\"END\"]\n[\"TICK\",2000]\n{job}\n[\"END\"]\n[\"TICK\",3000]\n{done}\n[\"END\"]\n",
+        "[\"TICK\",1000]\n{}{LIST}[\"END\"]\n[\"TICK\",2000]\n{request}\n[\"END\"]\n[\"TICK\",3000]\n{attempt_ended}\n[\"END\"]\n",
         create(SETTINGS)
     );
     let Run { output, error, is_success } = run(&input);
     assert!(is_success, "{error}");
-    let sent = "[\"HAND_OFF\",\"proxy-3\",\"00000000000000ab\",\"10.0.0.1:80\",0]";
-    assert_eq!(output.matches(sent).count(), 1, "{output}");
+    let dispatch = "[\"HAND_OFF\",\"proxy-3\",\"00000000000000ab\",\"10.0.0.1:80\",0]";
+    assert_eq!(output.matches(dispatch).count(), 1, "{output}");
     assert_eq!(output.lines().filter(|l| *l == "[\"YIELD\"]").count(), 3);
 }
 
-/// Guards against a request without an answer while no backend is known.
+/// Guards against a request that is never rejected while no backend is known.
 #[test]
-fn with_no_backend_a_request_is_rejected_in_time() {
-    let job = r#"["JOB_IN","proxy-3","00000000000000ab",null,900000,null,"north",0,"pay"]"#;
-    let mut input = format!("[\"TICK\",1000]\n{}{job}\n[\"END\"]\n", create(SETTINGS));
+fn a_request_without_backends_is_rejected_within_a_second() {
+    let request = r#"["JOB_IN","proxy-3","00000000000000ab",null,900000,null,"north",0,"pay"]"#;
+    let mut input = format!("[\"TICK\",1000]\n{}{request}\n[\"END\"]\n", create(SETTINGS));
     for (at, token) in (1..200).map(|n| (1000 + n * 5000, n)) {
         input += &format!("[\"TICK\",{at}]\n[\"TIMEOUT_FIRED\",\"proxy-3\",{token}]\n[\"END\"]\n");
     }
@@ -83,9 +85,9 @@
     assert_eq!(output.matches("[\"BOUNCE\",\"proxy-3\",\"00000000000000ab\",0]").count(), 1, "{output}");
 }
 
-/// Guards against the state of a killed instance that stays.
+/// Guards against state of a killed instance that is kept.
 #[test]
-fn a_killed_instance_is_forgotten_and_may_come_again() {
+fn a_killed_instance_is_removed_and_can_be_created_again() {
     let (first, kill) = (create(SETTINGS), "[\"KILLED\",\"proxy-3\"]\n");
     let Run { output, is_success, .. } = run(&format!("[\"TICK\",5]\n{first}{kill}{first}{LIST}[\"END\"]\n"));
     assert!(is_success && output.ends_with("[\"YIELD\"]\n"), "{output}");
@@ -93,27 +95,27 @@
     assert!(!is_success && error.contains("known instance"), "{error}");
 }
 
-/// Guards against malformed lines that are skipped, or reported without line number and expectation.
+/// Guards against malformed lines that are skipped or reported without line number and expected value.
 #[test]
-fn malformed_lines_are_reported_and_end_the_process() {
-    let job = |rest: &str| format!("[\"JOB_IN\",\"proxy-3\",{rest}]");
+fn a_malformed_line_is_reported_and_ends_the_process() {
+    let request = |rest: &str| format!("[\"JOB_IN\",\"proxy-3\",{rest}]");
     let cases = [
         ("no json".into(), "JSON"),
         ("{\"TICK\":1}".into(), "array"),
         ("[]".into(), "name"),
         ("[\"HELLO\",1]".into(), "unknown message HELLO"),
         ("[\"VIEW\",\"proxy-3\",0]".into(), "4 values"),
-        ("[\"VIEW\",\"proxy-3\",9,1,\"incr\"]".into(), "roster number"),
+        ("[\"VIEW\",\"proxy-3\",9,1,\"incr\"]".into(), "endpoint list number"),
         ("[\"VIEW\",\"proxy-3\",0,1,\"odd\"]".into(), "incr, total"),
         ("[\"VIEW\",\"proxy-9\",0,1,\"incr\"]".into(), "known instance"),
         ("[\"SNAPSHOT_ROWS\",16,[]]".into(), "0 to 15"),
         ("[\"SNAPSHOT_ROWS\",1,[[\"east\",0]]]".into(), "7 values"),
         ("[\"SNAPSHOT_ROWS\",1,[[\"east\",0,\"big\",\"a:1\",\"UP\",1,null]]]".into(), "IN, LAME or OUT"),
         ("[\"TIMEOUT_FIRED\",\"proxy-3\",\"7\"]".into(), "token"),
-        (job("\"xyz\",null,900,null,null,0,\"read\""), "16 lower-case hex"),
-        (job("\"00000000000000ab\",null,-4,null,null,0,\"read\""), "time left"),
-        (job("\"00000000000000ab\",null,900,null,null,0,\"none\""), "known class"),
-        (job("\"00000000000000ab\",null,900,null,\"none\",0,\"read\""), "known tenant"),
+        (request("\"xyz\",null,900,null,null,0,\"read\""), "16 lower-case hex"),
+        (request("\"00000000000000ab\",null,-4,null,null,0,\"read\""), "time left"),
+        (request("\"00000000000000ab\",null,900,null,null,0,\"none\""), "known class"),
+        (request("\"00000000000000ab\",null,900,null,\"none\",0,\"read\""), "known tenant"),
         ("[\"RETURNED\",\"proxy-3\",\"00000000000000ab\",0,\"10.0.0.1:80\",8,1,true,null]".into(), "0 to 7"),
         (
             "[\"RETURNED\",\"proxy-3\",\"00000000000000ab\",0,\"10.0.0.1:80\",1,1,1,null]".into(),
@@ -125,7 +127,7 @@
         let line: String = line;
         let Run { error, is_success, .. } =
             run(&format!("[\"TICK\",1]\n{}{LIST}{line}\n[\"END\"]\n", create(SETTINGS)));
-        assert!(!is_success, "accepted {line}");
+        assert!(!is_success, "malformed line accepted: {line}");
         assert!(error.contains("line 5:") && error.contains(expected), "{line}: {error}");
         assert!(!error.contains("panicked"), "{error}");
     }
@@ -133,9 +135,9 @@
     assert!(!is_success && error.contains("TICK first"), "{error}");
 }
 
-/// Guards against invalid settings that end the whole process, or are reported without their key.
+/// Guards against invalid settings that end the whole process or are reported without their key.
 #[test]
-fn bad_settings_are_a_fault_of_that_instance_that_names_the_key() {
+fn invalid_settings_fail_only_their_instance_and_name_the_key() {
     let cases = [
         ("\"group_size\":1,", "", "group_size"),
         ("\"group_size\":1,", "\"group_size\":0,", "group_size"),
