--- a/src/bin/simulator-adapter/main.rs
+++ b/src/bin/simulator-adapter/main.rs
@@ -1,5 +1,6 @@
 //! Connects the simulator to the library. It reads the simulator's messages from standard input, passes them
-//! to one [`load_balancer::Balancer`] per simulated proxy and writes the resulting actions to standard output.
+//! to one [`load_balancer::Balancer`] per simulated proxy and writes the resulting actions to standard
+//! output.
 
 mod endpoint_lists;
 mod error;
--- a/src/discovery/call_times.rs
+++ b/src/discovery/call_times.rs
@@ -1,52 +1,55 @@
-//! How long a call to discovery may wait for changes and for its answer, and the backoff between calls.
+//! Timeouts of calls to discovery and the backoff between calls.
 //!
-//! A call can be lost without a sign. Its loss has to be noticed, and the next call answered, before the
-//! platform counts the proxy as notified of what it missed: where the list is subscribed to, change wait +
-//! grace + next call <= 6 s. A pushed list comes from an agent on the proxy's own machine, which the same
-//! calls ask for changes at no cost to others; there the limit is the settings' time for ceasing to send to a
-//! draining backend.
+//! A call can be lost without an error. The timeout must detect this early enough that the next call is
+//! answered before the platform considers the proxy notified of the changes it missed. For a subscribed list
+//! this means change wait + grace + next call <= 6 s. A pushed list comes from an agent on the proxy's own
+//! machine, where calls put no load on a shared service; there the limit is the time within which requests to
+//! a draining backend must stop.
 
 use super::watch::WatchSettings;
 use crate::config::DiscoveryMode;
 use std::time::Duration;
 
-/// Part of the drain notice limit that a call for a pushed list waits for changes. The platform counts the
-/// proxy as notified of what its agent has at once, whatever became of the call.
+/// A call for a pushed list waits for changes for the drain notice limit divided by this. The platform
+/// considers the proxy notified as soon as the agent has a change, even if the call is lost.
 const PUSH_WAIT_DIVISOR: u32 = 2;
-/// Part of it that an answer of the agent may take.
+/// The agent may take the drain notice limit divided by this to answer.
 const PUSH_GRACE_DIVISOR: u32 = 4;
-/// Part of it that a backoff lasts at most.
+/// The backoff is at most the drain notice limit divided by this.
 const MAX_BACKOFF_DIVISOR: u32 = 4;
-/// The proxy counts as notified of a change this long after discovery had it and could be reached.
-const NOTIFIED_WITHIN: Duration = Duration::from_secs(6);
-/// An answer of a service for the whole fleet that is this late does not come.
+/// The platform considers a proxy notified of a change this long after discovery has the change and is
+/// reachable.
+const NOTIFICATION_DEADLINE: Duration = Duration::from_secs(6);
+/// Delay of an answer, beyond the wait, after which a call to the fleet's discovery service counts as lost.
 const POLL_GRACE: Duration = Duration::from_millis(1500);
-/// What the call after a lost one may take: connecting, its turn at the service, its answer.
+/// Time allowed for the call after a lost one: connecting, queueing at the service and the answer.
 const NEXT_CALL_TIME: Duration = Duration::from_secs(1);
-/// The longest wait for changes at such a service: each call costs it work.
-const MAX_POLL_WAIT: Duration = NOTIFIED_WITHIN.saturating_sub(POLL_GRACE).saturating_sub(NEXT_CALL_TIME);
-/// The part of a wait over which the proxies of a fleet spread theirs. A change answers all of them at once;
-/// with equal waits all would also notice a silent service at once, and their next calls would queue there
-/// for too long.
+/// Longest wait for changes at the fleet's discovery service. It is as long as the limits allow, because
+/// every call puts load on the service.
+const MAX_POLL_WAIT: Duration =
+    NOTIFICATION_DEADLINE.saturating_sub(POLL_GRACE).saturating_sub(NEXT_CALL_TIME);
+/// Fraction of the wait by which the proxies of a fleet stagger their waits. A change answers all pending
+/// calls at once. With equal waits, all proxies would also detect an unresponsive service at once, and their
+/// next calls would queue there for too long.
 const POLL_SPREAD: f64 = 0.5;
-/// How long the whole list may queue at the service. After a reload it counts as notified 4 s after the
-/// signal.
+/// Time that a call for a snapshot may queue at the service. After a reload, the platform considers the proxy
+/// notified 4 s after the signal; this plus the grace is less.
 const SNAPSHOT_WAIT: Duration = Duration::from_secs(2);
-/// The first wait after a failed call for a pushed list; it doubles.
+/// Backoff after the first failed call for a pushed list; it doubles with each further failure.
 pub(super) const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
 
-/// How long calls may take.
+/// Timeouts of calls to discovery.
 pub(super) struct CallTimes {
-    /// The whole list is not waited for at discovery, but may take this long in its queue.
+    /// Queueing time allowed for a snapshot, which discovery sends without waiting for changes.
     pub(super) snapshot_wait: Duration,
-    /// Discovery holds a call for changes at most this long.
+    /// Longest time that discovery holds a call until a change occurs.
     pub(super) change_wait: Duration,
-    /// A call whose answer is late by this is lost.
+    /// Delay of an answer, beyond the wait, after which the call counts as lost.
     pub(super) grace: Duration,
 }
 
 impl CallTimes {
-    /// The times for calls in this mode.
+    /// Returns the timeouts for this discovery mode.
     pub(super) fn new(mode: DiscoveryMode, settings: &WatchSettings) -> CallTimes {
         match mode {
             DiscoveryMode::Push => CallTimes {
@@ -55,10 +58,10 @@
                 grace: settings.drain_notice_limit / PUSH_GRACE_DIVISOR,
             },
             DiscoveryMode::Subscribe(_) => {
-                let spread = 1.0 - POLL_SPREAD * settings.fleet_position;
+                let wait_fraction = 1.0 - POLL_SPREAD * settings.fleet_position;
                 CallTimes {
-                    snapshot_wait: SNAPSHOT_WAIT.mul_f64(spread),
-                    change_wait: MAX_POLL_WAIT.mul_f64(spread),
+                    snapshot_wait: SNAPSHOT_WAIT.mul_f64(wait_fraction),
+                    change_wait: MAX_POLL_WAIT.mul_f64(wait_fraction),
                     grace: POLL_GRACE,
                 }
             }
@@ -66,7 +69,7 @@
     }
 }
 
-/// The backoff after this one.
+/// Returns the backoff that follows `backoff`: twice as long, up to the limit.
 pub(super) fn next_backoff(backoff: Duration, settings: &WatchSettings) -> Duration {
     (backoff * 2).min(settings.drain_notice_limit / MAX_BACKOFF_DIVISOR)
 }
--- a/src/discovery/client.rs
+++ b/src/discovery/client.rs
@@ -1,4 +1,4 @@
-//! Calls to discovery, over one connection that is opened as a call needs it.
+//! HTTP client for discovery, with one connection that is opened on demand and reused.
 
 use crate::net::connect::{connect, ConnectError};
 use crate::wire::endpoint_list::EndpointList;
@@ -12,64 +12,65 @@
 use std::time::Duration;
 use tokio::task::JoinHandle;
 
-/// The longest list that is read: some thousand entries.
+/// Longest response body that is read, enough for thousands of endpoints.
 const MAX_LIST_BYTES: usize = 4 << 20;
 
-/// Why a call brought no list.
+/// Why a call to discovery returned no endpoint list.
 #[derive(Debug, thiserror::Error)]
 pub enum DiscoveryError {
-    /// No connection came up.
+    /// The connection could not be established.
     #[error("{0}")]
     Connect(ConnectError),
-    /// The address or the path makes no request.
+    /// The address or the path is not valid in an HTTP request.
     #[error("{0}")]
     Request(#[from] hyper::http::Error),
-    /// The connection failed.
+    /// The HTTP exchange failed.
     #[error("{0}")]
     Connection(#[from] hyper::Error),
-    /// The body broke off or is too long.
+    /// The response body is truncated or too long.
     #[error("{0}")]
     Body(Box<dyn std::error::Error + Send + Sync>),
-    /// Discovery refused the call.
-    #[error("status {0}")]
+    /// The response status is not 200.
+    #[error("discovery answered with status {0}")]
     Status(StatusCode),
-    /// The body is no JSON document.
+    /// The response body is not valid JSON.
     #[error("expected JSON: {0}")]
     NotJson(#[from] serde_json::Error),
-    /// The document is no list.
+    /// The JSON document is not an endpoint list.
     #[error(transparent)]
     List(#[from] WireError),
-    /// Nothing came in the time of the call.
-    #[error("no answer in time")]
+    /// Discovery did not answer within the timeout of the call.
+    #[error("discovery did not answer in time")]
     TimedOut,
 }
 
-/// The way to discovery.
+/// Client for discovery; connects on the first call.
 #[derive(Default)]
 pub(super) struct Client {
     connection: Option<Connection>,
 }
 
 impl Client {
-    /// Calls for a list, on the connection held if it still stands.
-    pub(super) async fn call(
+    /// Requests the endpoint list at `path`, on the existing connection if it is still open.
+    pub(super) async fn fetch_list(
         &mut self, address: SocketAddr, connect_timeout: Duration, path: &str,
     ) -> Result<EndpointList, DiscoveryError> {
         let connection = match &mut self.connection {
-            Some(held) if !held.sender.is_closed() => held,
-            // Without its own limit a cut route would use up the time for the answer.
-            replaced => replaced.insert(Connection::open(address, connect_timeout).await?),
+            Some(open) if !open.sender.is_closed() => open,
+            // Without a separate connect timeout, an unreachable address would use up the time for the
+            // answer.
+            connection => connection.insert(Connection::open(address, connect_timeout).await?),
         };
-        connection.call(address, path).await
+        connection.fetch_list(address, path).await
     }
 
-    /// Closes the connection: it may be why a call failed.
+    /// Closes the connection, so that the next call opens a new one.
     pub(super) fn disconnect(&mut self) {
         self.connection = None;
     }
 }
 
-/// One connection to discovery; dropping it closes it.
+/// A connection to discovery, closed on drop.
 struct Connection {
     sender: SendRequest<Empty<Bytes>>,
     driver: JoinHandle<()>,
@@ -82,7 +83,8 @@
 }
 
 impl Connection {
-    /// Connects within that time; while this machine is short of resources the call waits.
+    /// Connects within `timeout`. While this machine lacks sockets, addresses or routes, it keeps trying;
+    /// only the timeout of the call ends this.
     async fn open(address: SocketAddr, timeout: Duration) -> Result<Connection, DiscoveryError> {
         let stream = loop {
             match connect(address, timeout, || Some(())).await {
@@ -102,7 +104,7 @@
         Ok(Connection { sender, driver })
     }
 
-    async fn call(&mut self, address: SocketAddr, path: &str) -> Result<EndpointList, DiscoveryError> {
+    async fn fetch_list(&mut self, address: SocketAddr, path: &str) -> Result<EndpointList, DiscoveryError> {
         self.sender.ready().await?;
         let request = Request::get(path).header(header::HOST, address.to_string()).body(Empty::new())?;
         let response = self.sender.send_request(request).await?;
--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -1,11 +1,11 @@
-//! Discovery: the watch on the endpoint list.
+//! Discovery client, which keeps the endpoint list up to date.
 //!
-//! | concern | module |
+//! | topic | module |
 //! | --- | --- |
-//! | when to call, and what becomes of an answer | `watch` |
-//! | how long a call may take | `call_times` |
-//! | one connection, one call | `client` |
-//! | starts of backends on the clock of this process | [`start_times`] |
+//! | schedule of calls and handling of answers | `watch` |
+//! | timeouts and backoff | `call_times` |
+//! | connection and single calls | `client` |
+//! | start times of backends on the clock of this process | [`start_times`] |
 
 mod call_times;
 mod client;
--- a/src/discovery/start_times.rs
+++ b/src/discovery/start_times.rs
@@ -1,49 +1,53 @@
-//! When backends started, on the clock of this process.
+//! Converts start times of backends to the clock of this process.
 //!
-//! The list gives starts in wall clock time, which this machine may have wrong by any amount, so the wall
-//! clock is not read here: the list alone bounds a start. No backend starts later than the list that names it
-//! comes, and one that was not listed before has started no longer ago than the last list without it. A start
-//! placed too late lets its backend warm up too late; one placed too early would skip its slow start.
+//! The endpoint list gives start times in wall clock time. The wall clock of this machine may be off by any
+//! amount, so it is not read here; a start time is bounded by the arrival of lists alone. A backend starts no
+//! later than the first list that contains it arrives, and no earlier than the last list without it arrived.
+//! An estimate that is too late delays the end of the backend's slow start; one that is too early cuts its
+//! slow start short.
 
 use crate::wire::endpoint_list::Endpoint;
 use crate::{BackendId, BackendState, Time};
 use std::collections::{HashMap, HashSet};
 
-/// A start by both clocks.
-struct PlacedStart {
-    /// As the list has it.
+/// The start time of a backend on both clocks.
+struct StartTime {
+    /// On the clock of the endpoint list.
     listed: Time,
     /// On the clock of this process.
     local: Time,
 }
 
-/// Places the starts of backends on the clock of this process.
+/// Start times of the listed backends, converted to the clock of this process.
 #[derive(Default)]
 pub struct StartTimes {
-    placed: HashMap<BackendId, PlacedStart>,
-    /// The most that this clock may be ahead of the list's, in microseconds: no listed start lay ahead.
+    known: HashMap<BackendId, StartTime>,
+    /// Upper bound of local clock minus list clock, in microseconds: the least difference between the arrival
+    /// of a list and a start time in it. `None` until a list contains a start time.
     max_offset: Option<i64>,
-    /// When the last list came. `None`: nothing is known of backends before the first.
+    /// When the last list arrived. `None` until a list contains an endpoint: start times then have no lower
+    /// bound.
     last_list_at: Option<Time>,
 }
 
 impl StartTimes {
-    /// Takes a list that came at `now`, a snapshot or changes (also none), and replaces the starts in it.
+    /// Converts the start times in a list that arrived at `now`, in place. The list is a snapshot or a delta,
+    /// which may be empty.
     pub fn place(&mut self, now: Time, is_snapshot: bool, endpoints: &mut [Endpoint]) {
         self.bound_offset(now, endpoints);
         if is_snapshot {
-            self.forget_unlisted(endpoints);
+            self.remove_unlisted(endpoints);
         }
         for endpoint in endpoints.iter_mut() {
             let backend = &mut endpoint.backend;
             if backend.state == BackendState::Removed {
-                self.placed.remove(&backend.id);
+                self.known.remove(&backend.id);
             } else if let Some(listed) = backend.started_at {
                 backend.started_at = Some(self.local_start(now, backend.id, listed));
             }
         }
-        let nothing_known = self.last_list_at.is_none() && endpoints.is_empty();
-        if !nothing_known {
+        let no_endpoint_yet = self.last_list_at.is_none() && endpoints.is_empty();
+        if !no_endpoint_yet {
             self.last_list_at = Some(now);
         }
     }
@@ -51,23 +55,23 @@
     fn bound_offset(&mut self, now: Time, endpoints: &[Endpoint]) {
         for listed in endpoints.iter().filter_map(|endpoint| endpoint.backend.started_at) {
             let offset = now.0 as i64 - listed.0 as i64;
-            self.max_offset = Some(self.max_offset.map_or(offset, |least| least.min(offset)));
+            self.max_offset = Some(self.max_offset.map_or(offset, |max_offset| max_offset.min(offset)));
         }
     }
 
-    fn forget_unlisted(&mut self, endpoints: &[Endpoint]) {
+    fn remove_unlisted(&mut self, endpoints: &[Endpoint]) {
         let listed: HashSet<BackendId> = endpoints.iter().map(|endpoint| endpoint.backend.id).collect();
-        self.placed.retain(|id, _| listed.contains(id));
+        self.known.retain(|id, _| listed.contains(id));
     }
 
     fn local_start(&mut self, now: Time, id: BackendId, listed: Time) -> Time {
-        if let Some(placed) = self.placed.get(&id).filter(|placed| placed.listed == listed) {
-            return placed.local;
+        if let Some(start) = self.known.get(&id).filter(|start| start.listed == listed) {
+            return start.local;
         }
         let latest = Time(listed.0.saturating_add_signed(self.max_offset.unwrap_or(0)));
         let earliest = self.last_list_at.unwrap_or(Time(0)).min(now);
         let local = latest.clamp(earliest, now);
-        self.placed.insert(id, PlacedStart { listed, local });
+        self.known.insert(id, StartTime { listed, local });
         local
     }
 }
--- a/src/discovery/watch.rs
+++ b/src/discovery/watch.rs
@@ -1,4 +1,4 @@
-//! The watch on the endpoint list: one call after another, each for what is newer than the list held.
+//! The watch on the endpoint list: consecutive long polls, each for the changes since the current version.
 
 use super::call_times::{next_backoff, CallTimes, INITIAL_BACKOFF};
 use super::client::{Client, DiscoveryError};
@@ -13,48 +13,52 @@
 
 const LIST_PATH: &str = "/api/targets";
 
-/// The settings that the watch goes by.
+/// Settings of the watch.
 #[derive(Clone, Copy)]
 pub struct WatchSettings {
-    /// A connection that is not up after this time counts as failed.
+    /// Time after which a connection attempt to discovery fails.
     pub connect_timeout: Duration,
-    /// Requests to a draining backend must cease this soon after it was listed so: what a lost call may
-    /// delay.
+    /// Time within which requests to a backend must stop after discovery lists it as draining. It bounds the
+    /// timeouts and the backoff of calls for a pushed list.
     pub drain_notice_limit: Duration,
-    /// The proxy's index as a part of the proxy count, from 0 up to 1.
+    /// The proxy's index divided by the number of proxies, in the range [0, 1). It staggers the calls of a
+    /// fleet.
     pub fleet_position: f64,
 }
 
-/// A watch on the endpoint list. [`Watch::run`] carries it out.
+/// A watch on the endpoint list, started by [`Watch::run`].
 pub struct Watch {
-    /// Where discovery is; it may move while the proxy runs.
+    /// Address of discovery; it may change while the proxy runs.
     pub address: watch::Receiver<SocketAddr>,
-    /// Whether the list is pushed or subscribed to.
+    /// Whether the list is pushed by a local agent or the proxy subscribes to it at the discovery service.
     pub mode: DiscoveryMode,
-    /// Read for each call; they may change while the proxy runs.
+    /// Settings, read for each call; they may change while the proxy runs.
     pub settings: Rc<Cell<WatchSettings>>,
-    /// The version of the list held.
+    /// Version of the current list. `None` makes the next call request a snapshot.
     pub version: Option<u64>,
-    /// The balancer asks for a call. A pushed list is watched unasked.
+    /// Notified when the balancer requests a subscription. The watch on a pushed list ignores it.
     pub resubscribe: Rc<Notify>,
-    /// The clock of this process, for the starts of backends.
+    /// Clock of this process, to which the start times of backends are converted.
     pub now: Box<dyn Fn() -> Time>,
-    /// When the backends of the list held started.
+    /// Start times of the backends of the current list.
     pub start_times: StartTimes,
-    /// Is called with every update of the list, in order.
+    /// Called with every update of the list, in order. The endpoints are empty for a lost subscription.
     pub on_update: Box<dyn Fn(EndpointListUpdate, Vec<Endpoint>)>,
 }
 
 impl Watch {
-    /// Watches for ever.
+    /// Runs the watch. The future never completes.
     ///
-    /// | after | the next call |
-    /// | --- | --- |
-    /// | a list | at once, so that no change falls between two calls |
-    /// | a move of discovery | at once, for the whole list |
-    /// | a failure, list pushed | after a backoff, for the whole list |
-    /// | a timeout, or a failure right after a move, list subscribed to | at once |
-    /// | any other failure, list subscribed to | when the balancer asks for it |
+    /// | mode | event | next call |
+    /// | --- | --- | --- |
+    /// | push | start | immediately |
+    /// | subscribe | start | when the balancer requests a subscription |
+    /// | both | endpoint list received | immediately, for changes |
+    /// | both | delta received with a lower version | immediately, for a snapshot |
+    /// | both | discovery address changed | immediately, for a snapshot; a backoff in progress ends first |
+    /// | push | call failed | after a backoff, for a snapshot |
+    /// | subscribe | call timed out, or first call after an address change failed | immediately |
+    /// | subscribe | call failed otherwise | when the balancer requests a subscription |
     pub async fn run(self) {
         let waits_for_balancer = self.mode != DiscoveryMode::Push;
         let running = RunningWatch {
@@ -62,17 +66,17 @@
             client: Client::default(),
             backoff: INITIAL_BACKOFF,
             waits_for_balancer,
-            is_after_move: false,
+            is_first_call_after_address_change: false,
         };
         running.run().await;
     }
 }
 
-/// What came of a call, or of the wait for it.
+/// Result of a call, or of the wait before it.
 enum CallOutcome {
     ListReceived(EndpointList),
     Failed(DiscoveryError),
-    /// Discovery has moved.
+    /// The address of discovery changed.
     AddressChanged,
 }
 
@@ -84,18 +88,18 @@
 struct RunningWatch {
     watch: Watch,
     client: Client,
-    /// The wait after the next failed call for a pushed list.
+    /// Wait after the next failed call for a pushed list.
     backoff: Duration,
-    /// The next call goes out when the balancer asks for it, not at once.
+    /// The next call is made when the balancer requests a subscription, not immediately.
     waits_for_balancer: bool,
-    /// Nothing has come of a call since discovery moved.
-    is_after_move: bool,
+    /// No call has completed since the address of discovery changed.
+    is_first_call_after_address_change: bool,
 }
 
 impl RunningWatch {
     async fn run(mut self) {
         loop {
-            let outcome = if self.waits_for_balancer && !self.asked_to_call().await {
+            let outcome = if self.waits_for_balancer && !self.resubscribe_requested().await {
                 CallOutcome::AddressChanged
             } else {
                 self.call().await
@@ -111,8 +115,9 @@
         }
     }
 
-    /// Waits until the balancer asks for a call; false where discovery moves first.
-    async fn asked_to_call(&mut self) -> bool {
+    /// Waits until the balancer requests a subscription. Returns false if the address of discovery changes
+    /// first.
+    async fn resubscribe_requested(&mut self) -> bool {
         tokio::select! {
             biased;
             Ok(()) = self.watch.address.changed() => false,
@@ -122,11 +127,11 @@
 
     async fn call(&mut self) -> CallOutcome {
         let address = *self.watch.address.borrow_and_update();
-        let Call { path, timeout } = self.next_call();
+        let Call { path, timeout } = self.build_call();
         tracing::debug!(%path, "discovery called");
         let connect_timeout = self.watch.settings.get().connect_timeout;
-        let answer = self.client.call(address, connect_timeout, &path);
-        // A discovery that never answers must not hold the watch.
+        let answer = self.client.fetch_list(address, connect_timeout, &path);
+        // An unresponsive discovery must not block the watch.
         let answer = tokio::time::timeout(timeout, answer);
         tokio::pin!(answer);
         loop {
@@ -138,15 +143,15 @@
                     Ok(Err(error)) => CallOutcome::Failed(error),
                     Err(_) => CallOutcome::Failed(DiscoveryError::TimedOut),
                 },
-                // The call asked for is this one. Kept, the notice would skip the balancer's backoff after
-                // a failure.
+                // This call already serves the request. A stored notification would bypass the balancer's
+                // backoff if the call fails.
                 () = self.watch.resubscribe.notified() => {}
             }
         }
     }
 
-    /// A call for the whole list, or for what is newer than the version held.
-    fn next_call(&self) -> Call {
+    /// Returns a call for the changes since the current version, or for a snapshot if there is no version.
+    fn build_call(&self) -> Call {
         let times = CallTimes::new(self.watch.mode, &self.watch.settings.get());
         match self.watch.version {
             None => Call { path: LIST_PATH.into(), timeout: times.snapshot_wait + times.grace },
@@ -158,24 +163,24 @@
         }
     }
 
-    /// The whole list is called for at the new address at once: the old one may have reported less.
+    /// Requests a snapshot from the new address, because the old one may not have reported every change.
     fn address_changed(&mut self) {
-        self.call_for_snapshot();
-        self.is_after_move = true;
+        self.request_snapshot();
+        self.is_first_call_after_address_change = true;
     }
 
-    fn call_for_snapshot(&mut self) {
+    fn request_snapshot(&mut self) {
         self.watch.version = None;
         self.waits_for_balancer = false;
     }
 
     fn list_received(&mut self, mut list: EndpointList) {
-        self.is_after_move = false;
+        self.is_first_call_after_address_change = false;
         let EndpointList { version, is_snapshot, .. } = list;
-        if !is_snapshot && self.watch.version.is_some_and(|held| version < held) {
-            // Discovery has started again: its changes are not to the list held.
+        if !is_snapshot && self.watch.version.is_some_and(|current| version < current) {
+            // Discovery has restarted, so its delta does not apply to the current list.
             tracing::warn!(version, "discovery version went back");
-            self.call_for_snapshot();
+            self.request_snapshot();
             return;
         }
         tracing::debug!(version, entries = list.endpoints.len(), "endpoint list received");
@@ -183,7 +188,7 @@
         self.watch.version = Some(version);
         self.waits_for_balancer = false;
         self.backoff = INITIAL_BACKOFF;
-        // An empty answer tells the balancer that its subscription stands.
+        // An empty delta confirms to the balancer that its subscription is active.
         if is_snapshot {
             (self.watch.on_update)(EndpointListUpdate::Snapshot, list.endpoints);
         } else if !list.endpoints.is_empty() || !self.is_pushed() {
@@ -191,18 +196,18 @@
         }
     }
 
-    /// The list held stays in force.
+    /// Schedules the next call; the current list is kept.
     async fn call_failed(&mut self, error: &DiscoveryError) {
         tracing::warn!(%error, "discovery call failed");
-        let is_after_move = std::mem::take(&mut self.is_after_move);
+        let is_first_call_after_address_change = std::mem::take(&mut self.is_first_call_after_address_change);
         if self.is_pushed() {
-            // An agent that starts again may number its versions from 0; the whole list costs it nothing.
+            // A restarted agent may count its versions from 0 again, and a snapshot from it is cheap.
             self.watch.version = None;
             tokio::time::sleep(self.backoff).await;
             self.backoff = next_backoff(self.backoff, &self.watch.settings.get());
-        } else if is_after_move || matches!(error, DiscoveryError::TimedOut) {
-            // Called again at once: a further wait would outlast the time within which the list counts as
-            // notified. The calls of the fleet are spread already, by the length of the lost ones.
+        } else if is_first_call_after_address_change || matches!(error, DiscoveryError::TimedOut) {
+            // No backoff: a further wait would exceed the time after which the platform considers the proxy
+            // notified. The calls of the fleet are already staggered by their different timeouts.
             self.waits_for_balancer = false;
         } else {
             self.waits_for_balancer = true;
--- a/tests/discovery/main.rs
+++ b/tests/discovery/main.rs
@@ -1,4 +1,4 @@
-//! The part of the library that watches the endpoint list.
+//! Tests of the discovery client: the watch on the endpoint list and the conversion of start times.
 
 mod start_times;
 mod watch;
--- a/tests/discovery/start_times.rs
+++ b/tests/discovery/start_times.rs
@@ -1,21 +1,21 @@
-//! Start times of backends, which the list has by a wall clock that may differ from the proxy's.
+//! Conversion of start times from the clock of the endpoint list, which may differ from the proxy's.
 
 use load_balancer::discovery::start_times::StartTimes;
 use load_balancer::discovery::Endpoint;
 use load_balancer::{Backend, BackendId, BackendState, Time};
 
 const SECOND: u64 = 1_000_000;
-/// When the proxy starts, by its own clock.
+/// Start of the proxy on its own clock.
 const PROXY_START: u64 = 10_000 * SECOND;
 
-/// An endpoint that started at that second of the list's clock; 0 is long ago.
+/// An endpoint that started at second `started` of the list's clock; 0 means long ago.
 fn endpoint(id: u64, started: u64) -> Endpoint {
     let started_at = Some(Time(started * SECOND)).filter(|time| time.0 > 0);
     let backend = Backend { id: BackendId(id), state: BackendState::Ready, started_at, ..Backend::default() };
     Endpoint { backend, address: ([127, 0, 0, 1], 1).into() }
 }
 
-/// The ages, in seconds, that the backends of a list have so many seconds after the start of the proxy.
+/// Ages in seconds of the backends of a list that arrives `at` seconds after the start of the proxy.
 fn ages(
     start_times: &mut StartTimes, at: u64, is_snapshot: bool, mut endpoints: Vec<Endpoint>,
 ) -> Vec<Option<u64>> {
@@ -26,25 +26,25 @@
     endpoints.iter().map(age).collect()
 }
 
-/// The list's clock as the proxy starts: like its own, much earlier, much later.
+/// Second of the list's clock at the start of the proxy: equal to the proxy's clock, far behind, far ahead.
 const CLOCKS: [u64; 3] = [PROXY_START / SECOND, 5_000, 50_000];
 
-/// Guards against a new backend that passes for warm because its start time is by another clock.
+/// Guards against a new backend that skips slow start because its start time is on another clock.
 #[test]
-fn a_new_backend_started_no_longer_ago_than_the_list_without_it() {
+fn a_new_backend_started_no_earlier_than_the_last_list_without_it() {
     for clock in CLOCKS {
         for is_snapshot in [true, false] {
             let mut start_times = StartTimes::default();
             assert_eq!(ages(&mut start_times, 0, true, vec![endpoint(1, 0)]), [None]);
             assert_eq!(ages(&mut start_times, 10, false, vec![]), []);
-            // By its clock it started long before the list that lacks it: no longer ago than that.
+            // Its listed start time is long before the last list without it, which bounds the age to 2 s.
             let endpoints = |started: u64| match is_snapshot {
                 true => vec![endpoint(1, 0), endpoint(2, started)],
                 false => vec![endpoint(2, started)],
             };
             let age = ages(&mut start_times, 12, is_snapshot, endpoints(clock - 100)).pop().flatten();
             assert!(age <= Some(2), "{clock}: {age:?}");
-            // Its process starts again.
+            // The backend restarts.
             assert_eq!(ages(&mut start_times, 14, false, vec![]), []);
             let age = ages(&mut start_times, 15, is_snapshot, endpoints(clock + 14)).pop().flatten();
             assert!(age <= Some(1), "{clock}: {age:?}");
@@ -52,23 +52,23 @@
     }
 }
 
-/// Guards against ages of a first list that rest on a wall clock which may be wrong.
+/// Guards against ages in the first list that depend on a wall clock that may be wrong.
 #[test]
-fn a_first_list_bounds_only_how_much_longer_ago_the_others_started_than_the_last() {
+fn the_first_list_gives_ages_relative_to_its_newest_backend() {
     for clock in CLOCKS {
         let mut start_times = StartTimes::default();
         let endpoints =
             vec![endpoint(1, clock - 100), endpoint(2, clock - 40), endpoint(3, clock - 30), endpoint(4, 0)];
         assert_eq!(ages(&mut start_times, 0, true, endpoints), [Some(70), Some(10), Some(0), None]);
-        // A start time once placed stays, whatever list names it again; new ones are placed beside it.
+        // Converted start times are kept when a later list repeats them; new ones are converted alongside.
         let endpoints = vec![endpoint(3, clock - 30), endpoint(2, clock - 40), endpoint(5, clock + 4)];
         assert_eq!(ages(&mut start_times, 5, true, endpoints), [Some(5), Some(15), Some(0)]);
     }
 }
 
-/// Guards against start times that are placed later than the quickest update shows.
+/// Guards against start times that are converted to a later time than the fastest update allows.
 #[test]
-fn starts_are_placed_by_the_fastest_update() {
+fn start_times_are_converted_by_the_fastest_update() {
     for clock in CLOCKS {
         let mut start_times = StartTimes::default();
         ages(&mut start_times, 0, true, vec![endpoint(1, 0)]);
@@ -77,9 +77,9 @@
     }
 }
 
-/// Guards against start times of removed backends that stay, in memory and for their successors.
+/// Guards against start times of removed backends that are kept and applied to their successors.
 #[test]
-fn a_removed_backend_is_forgotten() {
+fn the_start_time_of_a_removed_backend_is_discarded() {
     let mut start_times = StartTimes::default();
     ages(&mut start_times, 0, true, vec![endpoint(1, 0), endpoint(2, 900)]);
     let removed = |mut endpoint: Endpoint| {
--- a/tests/discovery/watch.rs
+++ b/tests/discovery/watch.rs
@@ -1,4 +1,4 @@
-//! The watch on the endpoint list, against a stand-in of discovery on loopback.
+//! The watch on the endpoint list, against a fake discovery service on loopback.
 
 use load_balancer::discovery::start_times::StartTimes;
 use load_balancer::discovery::{Endpoint, Watch, WatchSettings};
@@ -11,15 +11,15 @@
 use tokio::sync::{mpsc, watch, Notify};
 use tokio::task::LocalSet;
 
-/// An update as the dispatcher would receive it.
+/// An update as the dispatcher receives it.
 type Update = (EndpointListUpdate, Vec<Endpoint>);
 
-/// A watch that polls, and both ends of what the dispatcher has of it.
+/// A running watch in subscribe mode, with the handles that the dispatcher has of it.
 struct RunningWatch {
-    /// Moves the watch to another address.
+    /// Changes the address of discovery.
     address: watch::Sender<SocketAddr>,
     updates: mpsc::UnboundedReceiver<Update>,
-    /// Asks for a subscription, as the balancer does.
+    /// Requests a subscription, as the balancer does.
     resubscribe: Rc<Notify>,
 }
 
@@ -54,108 +54,110 @@
     }
 }
 
-/// The next call at this service, and its headers.
+/// Accepts the next call at `service` and returns it with its request headers.
 async fn next_call(service: &TcpListener) -> (TcpStream, String) {
-    let (caller, _) = service.accept().await.expect("a call");
+    let (connection, _) = service.accept().await.expect("an incoming call");
     let mut headers = [0; 1024];
     loop {
-        match caller.try_read(&mut headers) {
-            Ok(length) => return (caller, String::from_utf8_lossy(&headers[..length]).into_owned()),
-            Err(_) => caller.readable().await.expect("its headers"),
+        match connection.try_read(&mut headers) {
+            Ok(length) => return (connection, String::from_utf8_lossy(&headers[..length]).into_owned()),
+            Err(_) => connection.readable().await.expect("a readable connection"),
         }
     }
 }
 
-fn respond_unavailable(caller: &TcpStream) {
-    caller.try_write(b"HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n").expect("sent");
+fn respond_unavailable(connection: &TcpStream) {
+    connection.try_write(b"HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n").expect("response written");
 }
 
-/// Guards against a resubscription during a call that is kept, and skips the backoff after its failure.
+/// Guards against a resubscription during a call that bypasses the backoff after the call fails.
 #[tokio::test]
-async fn a_resubscription_during_a_call_is_not_kept_for_after_it() {
+async fn a_resubscription_during_a_call_does_not_outlive_it() {
     let scenario = async {
         let service = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let mut watch = start_watch(service.local_addr().expect("an address"));
         watch.resubscribe.notify_one();
-        let (caller, _) = next_call(&service).await;
+        let (connection, _) = next_call(&service).await;
         watch.resubscribe.notify_one();
         tokio::task::yield_now().await;
-        respond_unavailable(&caller);
+        respond_unavailable(&connection);
         watch.expect_subscription_lost().await;
-        let early = tokio::time::timeout(Duration::from_millis(200), service.accept()).await;
-        assert!(early.is_err(), "called again before the balancer resubscribed");
+        let early_call = tokio::time::timeout(Duration::from_millis(200), service.accept()).await;
+        assert!(early_call.is_err(), "discovery called again before the balancer resubscribed");
         watch.resubscribe.notify_one();
         service.accept().await.expect("the call after the resubscription");
     };
     LocalSet::new().run_until(scenario).await;
 }
 
-/// Guards against a backoff that outlasts a move of discovery, or a call for changes from the new one.
+/// Guards against a wait that outlasts a change of the discovery address, and a call for changes at the new
+/// one.
 #[tokio::test]
-async fn a_move_ends_the_wait_after_a_rejected_call_and_calls_for_a_snapshot() {
+async fn an_address_change_ends_the_wait_and_requests_a_snapshot() {
     let scenario = async {
         let old = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let new = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let mut watch = start_watch(old.local_addr().expect("an address"));
         watch.resubscribe.notify_one();
-        let (caller, headers) = next_call(&old).await;
+        let (connection, headers) = next_call(&old).await;
         assert!(headers.starts_with("GET /api/targets?after=1&"), "{headers}");
-        respond_unavailable(&caller);
+        respond_unavailable(&connection);
         watch.expect_subscription_lost().await;
-        watch.address.send(new.local_addr().expect("an address")).expect("still watched");
-        let soon = tokio::time::timeout(Duration::from_secs(4), next_call(&new)).await;
-        let (caller, headers) = soon.expect("a call within the 4 s");
+        watch.address.send(new.local_addr().expect("an address")).expect("a running watch");
+        let call = tokio::time::timeout(Duration::from_secs(4), next_call(&new)).await;
+        let (connection, headers) = call.expect("a call to the new address within 4 s");
         assert!(headers.starts_with("GET /api/targets HTTP"), "{headers}");
-        // Rejected there too, it is called once more before the fleet's backoff.
-        respond_unavailable(&caller);
-        let again = tokio::time::timeout(Duration::from_secs(4), next_call(&new)).await;
-        respond_unavailable(&again.expect("a second call").0);
+        // After another rejection it is called once more without waiting for the balancer.
+        respond_unavailable(&connection);
+        let second_call = tokio::time::timeout(Duration::from_secs(4), next_call(&new)).await;
+        respond_unavailable(&second_call.expect("a second call to the new address within 4 s").0);
         watch.expect_subscription_lost().await;
     };
     LocalSet::new().run_until(scenario).await;
 }
 
-/// Guards against a restarted service whose versions begin anew, and whose deltas lack what changed before.
+/// Guards against applying deltas of a restarted service, whose versions start over, to the current list.
 #[tokio::test]
-async fn a_version_that_went_back_brings_a_call_for_a_snapshot() {
+async fn a_lower_version_leads_to_a_call_for_a_snapshot() {
     let scenario = async {
         let service = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let mut watch = start_watch(service.local_addr().expect("an address"));
         watch.resubscribe.notify_one();
-        let (caller, headers) = next_call(&service).await;
+        let (connection, headers) = next_call(&service).await;
         assert!(headers.starts_with("GET /api/targets?after=1&"), "{headers}");
         let body = r#"{"index":0,"snapshot":false,"endpoints":[]}"#;
         let answer =
             format!("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: {}\r\n\r\n{body}", body.len());
-        caller.try_write(answer.as_bytes()).expect("sent");
-        drop(caller);
-        let (caller, headers) = next_call(&service).await;
+        connection.try_write(answer.as_bytes()).expect("response written");
+        drop(connection);
+        let (connection, headers) = next_call(&service).await;
         assert!(headers.starts_with("GET /api/targets HTTP"), "{headers}");
         let body = r#"{"index":0,"snapshot":true,"endpoints":[]}"#;
         let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
-        caller.try_write(answer.as_bytes()).expect("sent");
+        connection.try_write(answer.as_bytes()).expect("response written");
         assert!(matches!(watch.updates.recv().await, Some((EndpointListUpdate::Snapshot, _))));
     };
     LocalSet::new().run_until(scenario).await;
 }
 
-/// Guards against a wait for a connection that is as long as that for an update, where the network is cut.
+/// Guards against a connection attempt to an unreachable address that takes as long as a call may wait for
+/// changes.
 #[tokio::test]
-async fn a_connection_that_is_not_established_fails_the_call_soon() {
+async fn a_connect_timeout_fails_the_call() {
     let scenario = async {
         let socket = TcpSocket::new_v4().expect("a socket");
         socket.bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
-        let service = socket.listen(1).expect("a short queue");
+        let service = socket.listen(1).expect("a listener with a short backlog");
         let address = service.local_addr().expect("an address");
         let mut queued = Vec::new();
         let connect_timeout = Duration::from_millis(100);
-        while let Ok(taken) = tokio::time::timeout(connect_timeout, TcpStream::connect(address)).await {
-            queued.push(taken.expect("a place in the queue"));
+        while let Ok(connected) = tokio::time::timeout(connect_timeout, TcpStream::connect(address)).await {
+            queued.push(connected.expect("a connection in the backlog"));
         }
         let mut watch = start_watch(address);
         watch.resubscribe.notify_one();
-        let soon = tokio::time::timeout(Duration::from_secs(20), watch.expect_subscription_lost()).await;
-        assert!(soon.is_ok(), "the call still waits for its connection");
+        let call = tokio::time::timeout(Duration::from_secs(20), watch.expect_subscription_lost()).await;
+        assert!(call.is_ok(), "the call did not fail within 20 s");
     };
     LocalSet::new().run_until(scenario).await;
 }
