--- a/src/wire/endpoint_list.rs
+++ b/src/wire/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list as discovery sends it and as a deployment keeps it for the next start.
+//! Decodes the endpoint list, as sent by discovery and as stored in the proxy's configuration file.
 
 use super::error::WireError;
 use super::names::identifier;
@@ -10,33 +10,34 @@
 
 const MICROS_PER_MILLISECOND: u64 = 1000;
 
-/// An entry of the list.
+/// An entry of the endpoint list.
 #[derive(Clone, Debug)]
 pub struct Endpoint {
-    /// Its entry for the balancer.
+    /// The backend as the balancer sees it, without its address.
     pub backend: Backend,
-    /// Where this proxy reaches it.
+    /// Address at which the proxy connects to the backend.
     pub address: SocketAddr,
 }
 
-/// An endpoint list.
+/// An endpoint list: a snapshot or a delta.
 #[derive(Clone, Debug)]
 pub struct EndpointList {
-    /// Grows with each change.
+    /// Version of the list, which grows with each change until discovery restarts.
     pub version: u64,
-    /// Every entry stands here, not only those that changed.
+    /// Whether the entries are the whole list rather than only those that changed.
     pub is_snapshot: bool,
-    /// The entries.
+    /// Entries of the list; an empty delta reports no change.
     pub endpoints: Vec<Endpoint>,
 }
 
 impl EndpointList {
-    /// Reads a document. One bad entry refuses the whole list: half of it would drop backends.
+    /// Decodes a document. One invalid entry rejects the whole list, because a partial list would drop
+    /// backends.
     pub fn from_value(document: &Value) -> Result<EndpointList, WireError> {
         EndpointList::decode(&Object::root(document))
     }
 
-    /// Reads an object of a document.
+    /// Decodes an object within a document.
     pub(super) fn decode(list: &Object) -> Result<EndpointList, WireError> {
         let mut endpoints = Vec::new();
         for entry in list.objects("endpoints")? {
@@ -48,14 +49,14 @@
 }
 
 fn decode_endpoint(entry: &Object) -> Result<Endpoint, WireError> {
-    let state = entry.parsed("status", "ready, draining or gone", backend_state)?;
+    let state = entry.parse_string("status", "ready, draining or gone", backend_state)?;
     let started_at = entry.optional("since_ms")?.and_then(start_time);
     let id = BackendId(identifier(entry.required("name")?));
     let zone = ZoneId(identifier(entry.required("zone")?));
     let GroupNumber(cell) = entry.required("group")?;
     let kind = KindId(identifier(entry.required("type")?));
     let Weight(weight) = entry.required("weight")?;
-    let address = entry.parsed("address", "an address", |text| text.parse().ok())?;
+    let address = entry.parse_string("address", "an IP address and a port", |text| text.parse().ok())?;
     let backend = Backend { id, zone, cell: CellId(cell), kind, state, started_at, weight };
     Ok(Endpoint { backend, address })
 }
@@ -69,7 +70,7 @@
     }
 }
 
-/// 0 stands for a start long ago.
+/// Converts a listed start time; `None` for 0, which means that the backend started long ago.
 fn start_time(Milliseconds(start): Milliseconds) -> Option<Time> {
     (start > 0).then(|| Time(start.saturating_mul(MICROS_PER_MILLISECOND)))
 }
@@ -77,7 +78,7 @@
 struct Version(u64);
 
 impl FromValue<'_> for Version {
-    const EXPECTED: &'static str = "a version";
+    const EXPECTED: &'static str = "a version number";
 
     fn from_value(value: &Value) -> Result<Self, Expected> {
         value.as_u64().map(Version).ok_or(Expected(Self::EXPECTED))
--- a/src/wire/error.rs
+++ b/src/wire/error.rs
@@ -1,63 +1,63 @@
-//! What is wrong with a document, named by the path of the key at fault.
+//! Errors of invalid documents, which name the path of the invalid key.
 
 use serde_json::Value;
 
-/// The most of a wrong value that a message repeats, in bytes.
-const MAX_SHOWN_BYTES: usize = 200;
+/// Longest part of an invalid value that an error message contains, in bytes.
+const MAX_VALUE_BYTES: usize = 200;
 
-/// Why a document was not accepted.
+/// Why a document was rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{path}: {fault}")]
 pub struct WireError {
-    /// The key at fault, such as `profiles[2].window_us`.
+    /// Path of the invalid key, such as `profiles[2].window_us`.
     pub path: String,
-    /// What is wrong there.
+    /// What is wrong with its value.
     pub fault: WireFault,
 }
 
 /// What is wrong with the value of one key.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum WireFault {
-    /// The key is not there.
+    /// The key is missing.
     #[error("missing, expected {expected}")]
     Missing {
-        /// What should have been there.
+        /// Type or range of a valid value.
         expected: &'static str,
     },
-    /// Something else is there.
+    /// The value has the wrong type or is out of range.
     #[error("expected {expected}, got {got}")]
     Unexpected {
-        /// What should have been there.
+        /// Type or range of a valid value.
         expected: &'static str,
-        /// What was there, cut short where it is long.
+        /// The value found, truncated if long.
         got: String,
     },
-    /// The value does not go with the rest of the document.
+    /// The value is out of range, or conflicts with another value. The value found is not reported.
     #[error("expected {expected}")]
     OutOfRange {
-        /// What would go with it.
+        /// Range of a valid value.
         expected: &'static str,
     },
     /// Two classes have the same name.
     #[error("the name stands twice")]
-    RepeatedName,
+    DuplicateName,
 }
 
 impl WireFault {
-    /// The fault of a key whose value, if any, is not what was expected.
+    /// Returns the fault for a key whose value is not `expected`; `None` stands for a missing key.
     pub fn new(value: Option<&Value>, expected: &'static str) -> WireFault {
         match value {
-            Some(value) => WireFault::Unexpected { expected, got: shown(value) },
+            Some(value) => WireFault::Unexpected { expected, got: truncated(value) },
             None => WireFault::Missing { expected },
         }
     }
 }
 
-/// A value as a message shows it: whole where it is short.
-fn shown(value: &Value) -> String {
+/// Formats a value as JSON, truncated to [`MAX_VALUE_BYTES`] at a character boundary.
+fn truncated(value: &Value) -> String {
     let mut text = value.to_string();
-    if text.len() > MAX_SHOWN_BYTES {
-        let end = (0..=MAX_SHOWN_BYTES).rev().find(|&at| text.is_char_boundary(at)).unwrap_or(0);
+    if text.len() > MAX_VALUE_BYTES {
+        let end = (0..=MAX_VALUE_BYTES).rev().find(|&at| text.is_char_boundary(at)).unwrap_or(0);
         text.truncate(end);
         text.push_str("...");
     }
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -1,5 +1,5 @@
-//! Documents of the platform, mapped to the library's types. Their field names are read here and nowhere
-//! else; the simulator's messages are mapped by its adapter, HTTP headers by the proxy (`headers.rs`).
+//! Decodes the platform's JSON documents into the library's types. No other module depends on their field
+//! names. The simulator's messages are decoded by its adapter, HTTP headers by the proxy (`headers.rs`).
 
 pub mod endpoint_list;
 mod error;
--- a/src/wire/names.rs
+++ b/src/wire/names.rs
@@ -1,4 +1,4 @@
-//! Names on the wire and the identifiers that stand for them inside the process.
+//! Maps names on the wire to the identifiers used within the process.
 
 use crate::config::{Config, ConfigUpdate};
 use crate::units::{ClassId, TenantId};
@@ -7,38 +7,39 @@
 const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV_PRIME: u64 = 0x0100_0000_01b3;
 
-/// The identifier of a backend, zone or kind by its name (FNV-1a): the same in every process, whatever
-/// lists it has seen.
+/// Returns the identifier of a backend, zone or kind: the 64-bit FNV-1a hash of its name. It is the same in
+/// every process, independent of the lists that a process has received.
 pub fn identifier(name: &str) -> u64 {
     name.bytes().fold(FNV_OFFSET_BASIS, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME))
 }
 
-/// Classes and tenants by name.
+/// Identifiers of classes and tenants, by name.
 #[derive(Debug, Default, PartialEq)]
 pub struct Names {
     pub(super) classes: HashMap<Box<str>, ClassId>,
-    /// Of tenants that share a name the first has it.
+    /// If several tenants have the same name, it maps to the first of them.
     pub(super) tenants: HashMap<Box<str>, TenantId>,
 }
 
 impl Names {
-    /// The class of that name.
+    /// Returns the class with this name.
     pub fn class(&self, name: &str) -> Option<ClassId> {
         self.classes.get(name).copied()
     }
 
-    /// Whether requests name a tenant.
+    /// Whether tenants are configured; requests then name a tenant.
     pub fn has_tenants(&self) -> bool {
         !self.tenants.is_empty()
     }
 
-    /// The tenant of that name.
+    /// Returns the tenant with this name.
     pub fn tenant(&self, name: &str) -> Option<TenantId> {
         self.tenants.get(name).copied()
     }
 
-    /// The update to `config`, whose classes and tenants have these names, from a configuration with the
-    /// names `old`: each class and tenant is mapped to its id before.
+    /// Returns the update to `config`, whose classes and tenants have the names in `self`, from a
+    /// configuration with the names in `old`. Each class and tenant is mapped to its previous id, or to
+    /// `None` if it is new.
     pub fn update(&self, old: &Names, config: Config) -> ConfigUpdate {
         let mut previous_classes = vec![None; config.classes.len()];
         for (name, id) in &self.classes {
--- a/src/wire/object.rs
+++ b/src/wire/object.rs
@@ -1,40 +1,41 @@
-//! Typed access to the keys of a JSON object. An error names the key by its path in the whole document, and
-//! a missing key is reported together with what it should hold.
+//! Typed access to the keys of a JSON object. An error names the path of the key in the whole document and
+//! the expected value.
 
 use super::error::{WireError, WireFault};
 use crate::units::Micros;
 use serde_json::{Map, Value};
 
-/// What a value should have been instead of what it is.
+/// Error for an invalid value: a description of the valid ones.
 pub struct Expected(pub &'static str);
 
-/// A type that is read from one JSON value.
+/// A type that is decoded from a JSON value.
 pub trait FromValue<'a>: Sized {
-    /// What is expected where the key is missing.
+    /// Description of a valid value, reported if the key is missing.
     const EXPECTED: &'static str;
 
-    /// Reads the value, or says what was expected in its place.
+    /// Decodes `value`, or returns the description of a valid value.
     fn from_value(value: &'a Value) -> Result<Self, Expected>;
 }
 
-/// An object inside a document. A value that is absent or no object counts as an object without keys.
+/// An object in a document, with its path. A value that is absent or not an object is treated as an empty
+/// object.
 pub struct Object<'a> {
     path: String,
     members: Option<&'a Map<String, Value>>,
 }
 
 impl<'a> Object<'a> {
-    /// A whole document.
+    /// Returns the root object of a document.
     pub fn root(document: &'a Value) -> Object<'a> {
         Object { path: String::new(), members: document.as_object() }
     }
 
-    /// The object at a key.
+    /// Returns the object at a key.
     pub fn object(&self, key: &str) -> Object<'a> {
         Object { path: self.path_of(key), members: self.get(key).and_then(Value::as_object) }
     }
 
-    /// The objects of the array at a key.
+    /// Returns the objects in the array at a required key.
     pub fn objects(&self, key: &str) -> Result<Vec<Object<'a>>, WireError> {
         let items: &[Value] = self.required(key)?;
         let path = self.path_of(key);
@@ -45,30 +46,30 @@
         Ok(items.iter().enumerate().map(object).collect())
     }
 
-    /// The texts of the array at a key.
-    pub fn texts(&self, key: &str) -> Result<Vec<&'a str>, WireError> {
+    /// Returns the strings in the array at a required key.
+    pub fn strings(&self, key: &str) -> Result<Vec<&'a str>, WireError> {
         let items: &[Value] = self.required(key)?;
-        let text = |(index, item): (usize, &'a Value)| {
+        let string = |(index, item): (usize, &'a Value)| {
             <&str>::from_value(item).map_err(|Expected(expected)| WireError {
                 path: format!("{}[{index}]", self.path_of(key)),
                 fault: WireFault::new(Some(item), expected),
             })
         };
-        items.iter().enumerate().map(text).collect()
+        items.iter().enumerate().map(string).collect()
     }
 
-    /// Whether a key is there and not null.
+    /// Whether a key is present and not null.
     pub fn has(&self, key: &str) -> bool {
         self.get(key).is_some_and(|value| !value.is_null())
     }
 
-    /// The value of a key that must be there.
+    /// Returns the value of a key that must be present.
     pub fn required<T: FromValue<'a>>(&self, key: &str) -> Result<T, WireError> {
         let value = self.get(key).ok_or_else(|| self.unexpected(key, T::EXPECTED))?;
         T::from_value(value).map_err(|Expected(expected)| self.unexpected(key, expected))
     }
 
-    /// The value of a key that may be absent or null.
+    /// Returns the value of a key, or `None` if the key is absent or null.
     pub fn optional<T: FromValue<'a>>(&self, key: &str) -> Result<Option<T>, WireError> {
         if self.has(key) {
             self.required(key).map(Some)
@@ -77,19 +78,20 @@
         }
     }
 
-    /// The text of a key as `parse` takes it; `expected` says which texts those are.
-    pub fn parsed<T>(
+    /// Returns the result of `parse` on the string at a required key. `expected` describes the strings that
+    /// `parse` accepts.
+    pub fn parse_string<T>(
         &self, key: &str, expected: &'static str, parse: impl FnOnce(&'a str) -> Option<T>,
     ) -> Result<T, WireError> {
         parse(self.required(key)?).ok_or_else(|| self.unexpected(key, expected))
     }
 
-    /// The error of a key whose value, if any, is not what was expected.
+    /// Returns the error of a key whose value is missing or is not `expected`.
     pub fn unexpected(&self, key: &str, expected: &'static str) -> WireError {
         self.error(key, WireFault::new(self.get(key), expected))
     }
 
-    /// The error of a key.
+    /// Returns the error of a key with this fault.
     pub fn error(&self, key: &str, fault: WireFault) -> WireError {
         WireError { path: self.path_of(key), fault }
     }
--- a/src/wire/proxy_config.rs
+++ b/src/wire/proxy_config.rs
@@ -1,4 +1,4 @@
-//! The configuration file of the proxy.
+//! Decodes the configuration file of the proxy.
 
 use super::endpoint_list::EndpointList;
 use super::error::WireError;
@@ -8,43 +8,45 @@
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// Fewer descriptors leave no room for clients, backends and discovery.
+/// Smallest accepted limit of file descriptors; fewer leave no room for clients, backends and discovery.
 const MIN_FILE_DESCRIPTORS: u32 = 64;
 
-/// Everything that the deployment tells a proxy.
+/// The configuration file of a proxy.
 #[derive(Debug)]
 pub struct ProxyConfigMessage {
-    /// Where clients connect.
+    /// Address at which the proxy listens for clients.
     pub listen: SocketAddr,
-    /// Where discovery is.
+    /// Address of discovery.
     pub discovery: SocketAddr,
-    /// The seed of the balancer's random draws.
+    /// Seed of the balancer's random number generator.
     pub seed: u64,
-    /// File descriptors that the process may hold.
+    /// Number of file descriptors that the process may have open, at least 64.
     pub max_file_descriptors: u32,
-    /// The endpoint list as this proxy last had it.
+    /// The last endpoint list of the proxy before this start; `None` if the file has none.
     pub cached_list: Option<EndpointList>,
-    /// What may change while the proxy runs.
+    /// Settings that a reload may change.
     pub settings: ProxySettingsMessage,
 }
 
-/// The settings of the balancer, with what only a proxy with real connections needs.
+/// Settings of the balancer and of the proxy's connections.
 #[derive(Debug)]
 pub struct ProxySettingsMessage {
-    /// The settings of the balancer; its configuration is sound.
+    /// Settings of the balancer; their configuration is validated.
     pub balancer: SettingsMessage,
-    /// Requests to a draining backend must cease this soon after it was listed so.
+    /// Time within which requests to a backend must stop after discovery lists it as draining. `None` if the
+    /// file does not set it.
     pub stop_sending_within: Option<Micros>,
-    /// Requests that may be open at once.
+    /// Number of requests that may be open at the same time.
     pub max_open_requests: u32,
-    /// A backend closes a connection that has been idle for this long, at the latest.
+    /// Longest time that a backend keeps an idle connection open; it may close the connection earlier.
     pub idle_timeout: Micros,
-    /// A connection that is not up after this time counts as failed.
+    /// Time after which a connection attempt fails.
     pub connect_timeout: Micros,
 }
 
 impl ProxyConfigMessage {
-    /// Reads the document; unknown keys are skipped. Of several faults the first in this order is named.
+    /// Decodes the document; unknown keys are ignored. If several keys are invalid, the error names the one
+    /// that is checked first.
     pub fn from_value(document: &Value) -> Result<ProxyConfigMessage, WireError> {
         let document = Object::root(document);
         let max_file_descriptors = document.object("limits").required("sockets")?;
@@ -66,7 +68,7 @@
     }
 }
 
-/// The settings of the balancer; their configuration is sound.
+/// Decodes the settings of the balancer and validates their configuration.
 fn decode_balancer(settings: &Object) -> Result<SettingsMessage, WireError> {
     let balancer = SettingsMessage::decode(settings)?;
     if let Err(error) = balancer.config.validate() {
@@ -90,5 +92,5 @@
 }
 
 fn decode_address(document: &Object, key: &str) -> Result<SocketAddr, WireError> {
-    document.parsed(key, "an IP address and a port", |text| text.parse().ok())
+    document.parse_string(key, "an IP address and a port", |text| text.parse().ok())
 }
--- a/src/wire/settings.rs
+++ b/src/wire/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of a proxy: the library's configuration, and the names of classes and tenants.
+//! Decodes the settings of a proxy into the balancer's configuration and the names of classes and tenants.
 
 use super::error::{WireError, WireFault};
 use super::names::{identifier, Names};
@@ -7,25 +7,24 @@
 use crate::units::{ClassId, Micros, TenantId, ZoneId};
 use serde_json::Value;
 
-/// The settings as they stand in their document. Whether the configuration is sound is for
-/// [`Config::validate`] to say.
+/// Decoded settings. Their configuration is not validated; see [`Config::validate`].
 #[derive(Debug)]
 pub struct SettingsMessage {
-    /// The configuration of the balancer.
+    /// Configuration of the balancer.
     pub config: Config,
-    /// The names of its classes and tenants.
+    /// Names of the classes and tenants of `config`.
     pub names: Names,
-    /// The longest deadline of a class.
+    /// Longest deadline among the classes; 0 without classes.
     pub longest_deadline: Micros,
 }
 
 impl SettingsMessage {
-    /// Reads a document; unknown keys are skipped.
+    /// Decodes a document; unknown keys are ignored.
     pub fn from_value(document: &Value) -> Result<SettingsMessage, WireError> {
         SettingsMessage::decode(&Object::root(document))
     }
 
-    /// Reads an object of a document.
+    /// Decodes an object within a document.
     pub(super) fn decode(settings: &Object) -> Result<SettingsMessage, WireError> {
         let local_zone = decode_local_zone(settings)?;
         let mut names = Names::default();
@@ -46,7 +45,7 @@
             worst_class_goal_weight: goal.required("worst_class")?,
             cross_zone_cost: settings.object("costs").optional("cross_zone")?.unwrap_or(0.0),
             discovery,
-            // Absent or any other word: the weights are no report of load.
+            // Any other value, or none, means that the weights do not reflect the load of the backends.
             live_weights: matches!(settings.required("weight_source"), Ok("live")),
             max_attempts: limits.required("max_attempts")?,
             can_cancel: limits.required("cancel")?,
@@ -61,13 +60,16 @@
     }
 }
 
-/// The error for a field of the configuration that is out of its range.
+/// Converts a validation error, which names a field of the configuration, into one that names the wire key.
 pub fn config_error(error: &ConfigError) -> WireError {
-    WireError { path: key_of(error.field).into(), fault: WireFault::OutOfRange { expected: error.expected } }
+    WireError {
+        path: wire_key(error.field).into(),
+        fault: WireFault::OutOfRange { expected: error.expected },
+    }
 }
 
-/// The key from which a field of the configuration is read.
-fn key_of(field: &'static str) -> &'static str {
+/// Returns the wire key of a configuration field.
+fn wire_key(field: &'static str) -> &'static str {
     match field {
         "proxy_count" => "group_size",
         "proxy_index" => "position",
@@ -87,13 +89,15 @@
         "slow_start_duration" => "rules.ramp_time_us",
         "overload_multiple" => "rules.fall_multiple",
         "overload_window" => "rules.tip_after_us",
-        same => same,
+        other => other,
     }
 }
 
 fn decode_local_zone(settings: &Object) -> Result<ZoneId, WireError> {
-    let zones = settings.texts("zones")?;
-    settings.parsed("my_zone", "one of zones", |zone| zones.contains(&zone).then(|| ZoneId(identifier(zone))))
+    let zones = settings.strings("zones")?;
+    settings.parse_string("my_zone", "one of zones", |zone| {
+        zones.contains(&zone).then(|| ZoneId(identifier(zone)))
+    })
 }
 
 struct Classes {
@@ -107,7 +111,7 @@
     for class in settings.objects("profiles")? {
         let name: &str = class.required("name")?;
         if names.classes.insert(name.into(), ClassId(classes.len())).is_some() {
-            return Err(class.error("name", WireFault::RepeatedName));
+            return Err(class.error("name", WireFault::DuplicateName));
         }
         classes.push(decode_class(&class)?);
         longest_deadline = longest_deadline.max(class.required("deadline_us")?);
@@ -130,12 +134,12 @@
     })
 }
 
-/// The scope and the window are read of classes with a key only.
+/// Decodes the idempotency of a class. The key scope and window are decoded only for `guarded` classes.
 fn decode_idempotency(class: &Object) -> Result<Idempotency, WireError> {
     match class.required("effect")? {
         "free" => Ok(Idempotency::Idempotent),
         "guarded" => {
-            let scope = class.parsed("key_scope", "all, zone or cell", idempotency_scope)?;
+            let scope = class.parse_string("key_scope", "all, zone or cell", idempotency_scope)?;
             Ok(Idempotency::Keyed { scope, window: class.required("window_us")? })
         }
         "single_shot" => Ok(Idempotency::NonIdempotent),
@@ -152,7 +156,7 @@
     }
 }
 
-/// A site may have no tenants.
+/// Decodes the tenants; the key may be absent.
 fn decode_tenants(settings: &Object, names: &mut Names) -> Result<Vec<Tenant>, WireError> {
     let mut tenants = Vec::new();
     if !settings.has("customers") {
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -1,4 +1,4 @@
-//! Which documents are taken, and what is said of those that are not.
+//! Decoding of the platform's documents, and the error messages for invalid ones.
 
 use load_balancer::wire::endpoint_list::EndpointList;
 use load_balancer::wire::proxy_config::ProxyConfigMessage;
@@ -30,14 +30,14 @@
         "known": endpoint_list(), "settings": settings()})
 }
 
-fn changed(document: &Value, pointer: &str, value: Value) -> Value {
+fn with_value(document: &Value, pointer: &str, value: Value) -> Value {
     let mut document = document.clone();
     let (parent, key) = pointer.rsplit_once('/').unwrap();
     document.pointer_mut(parent).unwrap()[key] = value;
     document
 }
 
-fn without(document: &Value, pointer: &str) -> Value {
+fn without_key(document: &Value, pointer: &str) -> Value {
     let mut document = document.clone();
     let (parent, key) = pointer.rsplit_once('/').unwrap();
     document.pointer_mut(parent).unwrap().as_object_mut().unwrap().remove(key).unwrap();
@@ -45,40 +45,46 @@
 }
 
 #[test]
-fn what_may_be_absent_may_be_null_and_unknown_keys_are_skipped() {
-    let taken = SettingsMessage::from_value(&settings()).unwrap();
-    assert_eq!(taken.config.discovery, DiscoveryMode::Push);
-    assert_eq!((taken.config.tenants.len(), taken.config.over_quota_weight), (0, 0.0));
-    assert_eq!(taken.longest_deadline, Micros(900_000));
-    assert!(taken.names.class("read").is_some() && !taken.names.has_tenants());
-    let absent =
+fn optional_keys_may_be_null_and_unknown_keys_are_ignored() {
+    let decoded = SettingsMessage::from_value(&settings()).unwrap();
+    assert_eq!(decoded.config.discovery, DiscoveryMode::Push);
+    assert_eq!((decoded.config.tenants.len(), decoded.config.over_quota_weight), (0, 0.0));
+    assert_eq!(decoded.longest_deadline, Micros(900_000));
+    assert!(decoded.names.class("read").is_some() && !decoded.names.has_tenants());
+    let nullable =
         ["/customers", "/over_share_worth", "/costs", "/weight_source", "/profiles/0/late_worth", "/new"];
-    for pointer in absent {
-        let document = changed(&settings(), pointer, Value::Null);
-        assert_eq!(SettingsMessage::from_value(&document).unwrap().config, taken.config, "{pointer}");
+    for pointer in nullable {
+        let document = with_value(&settings(), pointer, Value::Null);
+        assert_eq!(SettingsMessage::from_value(&document).unwrap().config, decoded.config, "{pointer}");
     }
 }
 
 #[test]
-fn rejected_settings_name_the_key_and_what_was_expected() {
+fn invalid_settings_are_rejected_with_key_and_expected_value() {
     let cases = [
         (json!([]), "zones: missing, expected an array"),
-        (without(&settings(), "/discovery"), "discovery: missing, expected text"),
-        (changed(&settings(), "/discovery", json!(null)), "discovery: expected text, got null"),
-        (changed(&settings(), "/limits", json!(5)), "limits.max_attempts: missing, expected a whole number"),
-        (changed(&settings(), "/group_size", json!(1.0)), "group_size: expected a whole number, got 1.0"),
+        (without_key(&settings(), "/discovery"), "discovery: missing, expected text"),
+        (with_value(&settings(), "/discovery", json!(null)), "discovery: expected text, got null"),
         (
-            changed(&settings(), "/group_size", json!(1u64 << 32)),
+            with_value(&settings(), "/limits", json!(5)),
+            "limits.max_attempts: missing, expected a whole number",
+        ),
+        (with_value(&settings(), "/group_size", json!(1.0)), "group_size: expected a whole number, got 1.0"),
+        (
+            with_value(&settings(), "/group_size", json!(1u64 << 32)),
             "group_size: expected a whole number, got 4294967296",
         ),
-        (changed(&settings(), "/zones", json!(["east", 5])), "zones[1]: expected text, got 5"),
-        (changed(&settings(), "/my_zone", json!("north")), "my_zone: expected one of zones, got \"north\""),
+        (with_value(&settings(), "/zones", json!(["east", 5])), "zones[1]: expected text, got 5"),
+        (
+            with_value(&settings(), "/my_zone", json!("north")),
+            "my_zone: expected one of zones, got \"north\"",
+        ),
         (
-            changed(&settings(), "/customers", json!([{"name": "a", "quota_rps": "1"}])),
+            with_value(&settings(), "/customers", json!([{"name": "a", "quota_rps": "1"}])),
             "customers[0].quota_rps: expected a number, got \"1\"",
         ),
         (
-            changed(&settings(), "/discovery", json!("subscribe")),
+            with_value(&settings(), "/discovery", json!("subscribe")),
             "rules.must_ask_in_us: missing, expected whole microseconds",
         ),
     ];
@@ -87,25 +93,25 @@
     }
 }
 
-/// A value of 100 kB in an operator's log helps nobody.
+/// Guards against a long value that floods the operator's log, and against truncation within a character.
 #[test]
-fn a_long_value_is_cut_between_two_characters() {
-    let document = changed(&settings(), "/my_zone", json!("\u{e9}".repeat(50_000)));
+fn a_long_value_is_truncated_between_two_characters() {
+    let document = with_value(&settings(), "/my_zone", json!("\u{e9}".repeat(50_000)));
     let message = SettingsMessage::from_value(&document).unwrap_err().to_string();
-    let shown = message.strip_prefix("my_zone: expected one of zones, got ").unwrap();
-    assert_eq!(shown, format!("\"{}...", "\u{e9}".repeat(99)));
+    let truncated = message.strip_prefix("my_zone: expected one of zones, got ").unwrap();
+    assert_eq!(truncated, format!("\"{}...", "\u{e9}".repeat(99)));
 }
 
 #[test]
-fn one_bad_entry_rejects_a_list() {
+fn one_invalid_entry_rejects_the_list() {
     let list = EndpointList::from_value(&endpoint_list()).unwrap();
     assert_eq!((list.version, list.is_snapshot, list.endpoints.len()), (7, true, 1));
     let backend = &list.endpoints[0].backend;
     assert_eq!((backend.state, backend.started_at), (BackendState::Ready, Some(Time(5000))));
     let entry = |key: &str, value: Value| {
         let mut document = endpoint_list();
-        let bad = changed(&document["endpoints"][0], &format!("/{key}"), value);
-        document["endpoints"].as_array_mut().unwrap().push(bad);
+        let invalid = with_value(&document["endpoints"][0], &format!("/{key}"), value);
+        document["endpoints"].as_array_mut().unwrap().push(invalid);
         document
     };
     for long_ago in [json!(null), json!(0)] {
@@ -118,8 +124,11 @@
         (entry("group", json!(null)), "endpoints[1].group: expected a group number, got null"),
         (entry("weight", json!(-0.5)), "endpoints[1].weight: expected a weight of 0 or more, got -0.5"),
         (entry("weight", json!("1")), "endpoints[1].weight: expected a number, got \"1\""),
-        (entry("address", json!("host:80")), "endpoints[1].address: expected an address, got \"host:80\""),
-        (without(&endpoint_list(), "/index"), "index: missing, expected a version"),
+        (
+            entry("address", json!("host:80")),
+            "endpoints[1].address: expected an IP address and a port, got \"host:80\"",
+        ),
+        (without_key(&endpoint_list(), "/index"), "index: missing, expected a version number"),
         (json!(5), "endpoints: missing, expected an array"),
     ];
     for (document, message) in cases {
@@ -128,47 +137,47 @@
 }
 
 #[test]
-fn faults_of_a_proxy_configuration_name_paths_from_its_root() {
-    let taken = ProxyConfigMessage::from_value(&proxy_config()).unwrap();
-    assert_eq!((taken.seed, taken.max_file_descriptors), (255, 64));
-    assert_eq!(taken.cached_list.map(|list| list.version), Some(7));
+fn errors_of_a_proxy_configuration_name_paths_from_its_root() {
+    let decoded = ProxyConfigMessage::from_value(&proxy_config()).unwrap();
+    assert_eq!((decoded.seed, decoded.max_file_descriptors), (255, 64));
+    assert_eq!(decoded.cached_list.map(|list| list.version), Some(7));
     let cases = [
-        (without(&proxy_config(), "/settings"), "settings.zones: missing, expected an array"),
+        (without_key(&proxy_config(), "/settings"), "settings.zones: missing, expected an array"),
         (
-            changed(&proxy_config(), "/settings/group_size", json!(0)),
+            with_value(&proxy_config(), "/settings/group_size", json!(0)),
             "settings.group_size: expected at least 1",
         ),
         (
-            changed(&proxy_config(), "/limits/sockets", json!(63)),
+            with_value(&proxy_config(), "/limits/sockets", json!(63)),
             "limits.sockets: expected at least 64, got 63",
         ),
         (
-            changed(&proxy_config(), "/seed", json!("12345678901234567")),
+            with_value(&proxy_config(), "/seed", json!("12345678901234567")),
             "seed: expected up to 16 hex digits, got \"12345678901234567\"",
         ),
-        (changed(&proxy_config(), "/known", json!({})), "known.endpoints: missing, expected an array"),
+        (with_value(&proxy_config(), "/known", json!({})), "known.endpoints: missing, expected an array"),
     ];
     for (document, message) in cases {
         assert_eq!(ProxyConfigMessage::from_value(&document).unwrap_err().to_string(), message);
     }
 }
 
-/// Guards against documents with several faults that name another one than before.
+/// Guards against a changed order of checks, after which the error names another of several invalid keys.
 #[test]
-fn of_several_faults_the_first_in_order_is_named() {
-    let bad_cap = changed(&proxy_config(), "/settings/limits/open_cap", json!("x"));
+fn the_first_of_several_invalid_keys_is_reported() {
+    let invalid_open_cap = with_value(&proxy_config(), "/settings/limits/open_cap", json!("x"));
     let cases = [
-        (changed(&bad_cap, "/seed", json!(5)), "seed: expected text, got 5"),
+        (with_value(&invalid_open_cap, "/seed", json!(5)), "seed: expected text, got 5"),
         (
-            changed(&bad_cap, "/seed", json!("xyz")),
+            with_value(&invalid_open_cap, "/seed", json!("xyz")),
             "settings.limits.open_cap: expected a whole number, got \"x\"",
         ),
         (
-            changed(&bad_cap, "/listen", json!(5)),
+            with_value(&invalid_open_cap, "/listen", json!(5)),
             "settings.limits.open_cap: expected a whole number, got \"x\"",
         ),
         (
-            changed(&bad_cap, "/limits/sockets", json!(1)),
+            with_value(&invalid_open_cap, "/limits/sockets", json!(1)),
             "settings.limits.open_cap: expected a whole number, got \"x\"",
         ),
     ];
