--- a/src/bin/load-balancer-proxy/dispatcher/actions.rs
+++ b/src/bin/load-balancer-proxy/dispatcher/actions.rs
@@ -1,4 +1,4 @@
-//! Carrying out the balancer's actions.
+//! Execution of the balancer's actions.
 
 use super::attempt_report::AttemptReport;
 use super::request_table::AttemptTask;
@@ -8,8 +8,8 @@
 use load_balancer::{Action, BackendId, Micros, Outcome, RequestId, Time};
 
 impl Dispatcher {
-    /// Carries out one action of the tick at `now`.
-    pub(super) fn carry_out(&mut self, now: Time, action: Action) {
+    /// Executes one action that the balancer returned in the tick at `now`.
+    pub(super) fn execute(&mut self, now: Time, action: Action) {
         match action {
             Action::Dispatch { request, backend, write_by } => self.dispatch(now, request, backend, write_by),
             Action::Reject { request } => {
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Sends a request its final answer, if one is owed.
+    /// Sends the final answer to a request's client if the request is still pending.
     pub(super) fn answer(&mut self, id: RequestId, answer: FinalAnswer) {
         if let Some(request) = self.requests.get_mut(id) {
             request.answer(answer);
@@ -34,8 +34,9 @@
         self.requests.mark_if_finished(id);
     }
 
-    /// Begins an attempt. It ends at once as not sent where the request was answered meanwhile or is past its
-    /// deadline, or the backend is no longer listed.
+    /// Starts an attempt. The attempt ends immediately with [`Outcome::NotSent`] if the request has been
+    /// answered in the meantime, its deadline has passed, or the backend has been removed from the endpoint
+    /// list.
     pub(super) fn dispatch(&mut self, now: Time, id: RequestId, backend: BackendId, write_by: Option<Time>) {
         let Some(request) = self.requests.get_mut(id) else { return };
         let number = request.next_attempt();
--- a/src/bin/load-balancer-proxy/dispatcher/attempt_report.rs
+++ b/src/bin/load-balancer-proxy/dispatcher/attempt_report.rs
@@ -1,13 +1,16 @@
-//! The report of an attempt's end, which is sent however its task ends.
+//! Reports the end of an attempt to the dispatcher, even if the attempt's task panics.
 
 use crate::messages::DispatcherMessage;
 use crate::upstream::UpstreamResult;
 use load_balancer::{AttemptNumber, Outcome, RequestId};
 use tokio::sync::mpsc;
 
-/// Reports the end of one attempt. Dropped unsent it reports a reset connection, for the attempt may have
-/// been executed: so after a panic of its task. An attempt that the dispatcher itself has ended drops its
-/// report too; the dispatcher has forgotten the attempt by then and ignores the message.
+/// Reports the end of one attempt to the dispatcher.
+///
+/// If it is dropped without being sent, for example because the attempt's task panicked, it reports
+/// [`Outcome::ConnectionReset`], since the backend may have executed the request. Aborting the task of an
+/// attempt that the dispatcher has ended also drops its report; the dispatcher ignores that message because
+/// it no longer tracks the attempt.
 pub(super) struct AttemptReport {
     messages: mpsc::UnboundedSender<DispatcherMessage>,
     request: RequestId,
@@ -16,14 +19,14 @@
 }
 
 impl AttemptReport {
-    /// A report to be sent over `messages`.
+    /// Creates the report of an attempt in flight, to be sent over `messages`.
     pub fn new(
         messages: mpsc::UnboundedSender<DispatcherMessage>, request: RequestId, attempt: AttemptNumber,
     ) -> AttemptReport {
         AttemptReport { messages, request, attempt, is_sent: false }
     }
 
-    /// Reports how the attempt ended.
+    /// Sends the result of the attempt to the dispatcher.
     pub fn send(mut self, result: UpstreamResult) {
         self.send_result(result);
     }
--- a/src/bin/load-balancer-proxy/dispatcher/backend_table.rs
+++ b/src/bin/load-balancer-proxy/dispatcher/backend_table.rs
@@ -1,4 +1,4 @@
-//! The backends of the endpoint list, each with its connections.
+//! The backends of the current endpoint list, each with its connections.
 
 use crate::upstream::Upstream;
 use load_balancer::wire::endpoint_list::Endpoint;
@@ -13,47 +13,47 @@
 }
 
 impl BackendTable {
-    /// A backend that has not been removed.
+    /// Returns a backend, or `None` if it was never listed or has been removed.
     pub fn get(&self, id: BackendId) -> Option<&Rc<Upstream>> {
         self.upstreams.get(&id)
     }
 
-    /// All backends, in no order.
+    /// Iterates over all backends, in arbitrary order.
     pub fn iter(&self) -> impl Iterator<Item = &Rc<Upstream>> {
         self.upstreams.values()
     }
 
-    /// Whether some backend may be sent requests.
+    /// Returns whether at least one backend accepts new requests.
     pub fn has_ready(&self) -> bool {
         self.iter().any(|upstream| upstream.is_ready())
     }
 
-    /// Applies an endpoint list and returns its entries for the balancer.
+    /// Applies an endpoint list update and returns its entries for the balancer.
     pub fn apply(&mut self, update: EndpointListUpdate, endpoints: Vec<Endpoint>) -> Vec<Backend> {
-        let mut unnamed =
+        let mut unlisted =
             if update.is_complete() { std::mem::take(&mut self.upstreams) } else { HashMap::new() };
         let mut entries = Vec::with_capacity(endpoints.len());
         for endpoint in endpoints {
             let id = endpoint.backend.id;
-            let known = unnamed.remove(&id).or_else(|| self.upstreams.remove(&id));
+            let existing = unlisted.remove(&id).or_else(|| self.upstreams.remove(&id));
             entries.push(endpoint.backend.clone());
-            self.apply_entry(known, endpoint);
+            self.apply_entry(existing, endpoint);
         }
-        for upstream in unnamed.values() {
+        for upstream in unlisted.values() {
             upstream.drain();
         }
         entries
     }
 
-    /// The table as a list of entries, without the backends that were removed.
+    /// Returns the endpoint list entries of all backends, with their current states, in arbitrary order.
     pub fn entries(&self) -> Vec<Backend> {
         self.iter().map(|upstream| current_entry(upstream)).collect()
     }
 
-    fn apply_entry(&mut self, known: Option<Rc<Upstream>>, endpoint: Endpoint) {
+    fn apply_entry(&mut self, existing: Option<Rc<Upstream>>, endpoint: Endpoint) {
         let id = endpoint.backend.id;
         let state = endpoint.backend.state;
-        let upstream = upstream_for(known, endpoint);
+        let upstream = upstream_for(existing, endpoint);
         if state == BackendState::Ready {
             upstream.mark_ready();
         } else {
@@ -65,10 +65,10 @@
     }
 }
 
-/// The known upstream, unless the entry names another process: a restarted process shares no connection with
-/// the one before it.
-fn upstream_for(known: Option<Rc<Upstream>>, endpoint: Endpoint) -> Rc<Upstream> {
-    match known {
+/// Returns the existing upstream if the entry describes the same process. Otherwise drains the existing one
+/// and creates a new one, because a restarted process does not share connections with its predecessor.
+fn upstream_for(existing: Option<Rc<Upstream>>, endpoint: Endpoint) -> Rc<Upstream> {
+    match existing {
         Some(upstream) if is_same_process(&upstream.endpoint, &endpoint) => upstream,
         Some(upstream) => {
             upstream.drain();
@@ -78,9 +78,10 @@
     }
 }
 
-/// A process at another address shares no connection either, though to the balancer it is the same backend.
-fn is_same_process(known: &Endpoint, endpoint: &Endpoint) -> bool {
-    known.address == endpoint.address && known.backend.started_at == endpoint.backend.started_at
+/// Returns whether both entries describe the same process. A new address means a new process for connections,
+/// although the balancer treats it as the same backend.
+fn is_same_process(existing: &Endpoint, endpoint: &Endpoint) -> bool {
+    existing.address == endpoint.address && existing.backend.started_at == endpoint.backend.started_at
 }
 
 fn current_entry(upstream: &Upstream) -> Backend {
--- a/src/bin/load-balancer-proxy/dispatcher/deadlines.rs
+++ b/src/bin/load-balancer-proxy/dispatcher/deadlines.rs
@@ -1,15 +1,16 @@
-//! Deadlines of requests: attempts in flight at a deadline time out, and a request that the balancer leaves
-//! unanswered after it is failed.
+//! Request deadlines. Attempts that are in flight at the deadline time out. A request that the balancer has
+//! not answered shortly after its deadline is failed.
 
 use super::Dispatcher;
 use crate::messages::FinalAnswer;
 use load_balancer::{Event, Micros, Outcome, RequestId, Time};
 use std::collections::{BTreeSet, VecDeque};
 
-/// Ticks after a deadline in which the balancer may still answer: its timers fire a tick late at most.
+/// Number of ticks after a deadline in which the balancer may still answer the request. Its timers fire at
+/// most one tick late.
 const GRACE_TICKS: u64 = 2;
 
-/// When something is due for a request.
+/// A point in time at which a request must be handled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Deadline {
     pub at: Time,
@@ -19,49 +20,50 @@
 /// The deadlines of open requests.
 pub(super) struct Deadlines {
     pending: BTreeSet<Deadline>,
-    /// No deadline is later: the process ends then.
+    /// Upper limit on all deadlines: the time by which the process exits, or [`Time::NEVER`] while it is not
+    /// shutting down.
     latest: Time,
-    /// Unanswered requests past their deadline, and until when the balancer may answer them; in order.
+    /// Unanswered requests past their deadline, ordered by the time until which the balancer may answer them.
     overdue: VecDeque<Deadline>,
 }
 
 impl Deadlines {
-    /// No deadlines, and no limit on them.
+    /// Creates an empty collection without an upper limit on deadlines.
     pub fn new() -> Deadlines {
         Deadlines { pending: BTreeSet::new(), latest: Time::NEVER, overdue: VecDeque::new() }
     }
 
-    /// When the next deadline is due, or [`Time::NEVER`].
+    /// Returns the earliest pending deadline, or [`Time::NEVER`] if there is none.
     pub fn next(&self) -> Time {
         self.pending.first().map_or(Time::NEVER, |deadline| deadline.at)
     }
 
-    /// When the next overdue request is failed, or [`Time::NEVER`].
+    /// Returns the time at which the next overdue request is failed, or [`Time::NEVER`] if there is none.
     pub fn next_overdue(&self) -> Time {
         self.overdue.front().map_or(Time::NEVER, |overdue| overdue.at)
     }
 
-    /// The deadline, or the end of the process where that is sooner.
+    /// Caps a deadline at the upper limit.
     pub fn limit(&self, deadline: Time) -> Time {
         deadline.min(self.latest)
     }
 
-    /// No deadline that is added from now on may be later.
+    /// Sets the upper limit that [`limit`](Deadlines::limit) applies. Deadlines that were added before keep
+    /// their time.
     pub fn set_latest(&mut self, latest: Time) {
         self.latest = latest;
     }
 
-    /// Adds a deadline.
     pub fn insert(&mut self, deadline: Deadline) {
         self.pending.insert(deadline);
     }
 
-    /// Removes a deadline, unless it is past already.
+    /// Removes a deadline if it is still pending.
     pub fn remove(&mut self, deadline: Deadline) {
         self.pending.remove(&deadline);
     }
 
-    /// Removes every deadline; the limit on later ones stays.
+    /// Removes all pending deadlines and overdue requests; keeps the upper limit.
     pub fn clear(&mut self) {
         self.pending.clear();
         self.overdue.clear();
@@ -85,7 +87,8 @@
 }
 
 impl Dispatcher {
-    /// Ends as timed out what is in flight at its deadline; the balancer still owes the answer.
+    /// Ends all attempts of requests whose deadline has passed with [`Outcome::TimedOut`]. The requests stay
+    /// pending until the balancer answers them or [`fail_overdue`](Dispatcher::fail_overdue) does.
     pub(super) fn expire_deadlines(&mut self, now: Time) {
         while let Some(Deadline { at, request: id }) = self.deadlines.pop_due(now) {
             let Some(request) = self.requests.get_mut(id) else { continue };
@@ -102,20 +105,21 @@
         }
     }
 
-    /// Fails requests that the balancer has not answered within the grace ticks, so that no client waits for
-    /// ever. They are never rejected: only the balancer knows what may have been executed.
+    /// Fails requests that the balancer has not answered within [`GRACE_TICKS`] after their deadline, so that
+    /// no client waits indefinitely. They are not rejected, because only the balancer knows whether a backend
+    /// may have executed them.
     pub(super) fn fail_overdue(&mut self, now: Time) {
         while let Some(id) = self.deadlines.pop_overdue(now) {
             if self.requests.get(id).is_some_and(|request| !request.is_answered()) {
                 tracing::error!(request = id.0, "request unanswered at its deadline");
-                // To the balancer: no answer is owed any more.
+                // Tells the balancer that the request no longer needs an answer.
                 self.events.push(Event::ClientDisconnected { request: id });
                 self.answer(id, FinalAnswer::Failed);
             }
         }
     }
 
-    /// The process ends at `deadline`: every request is answered by then.
+    /// Caps all current and later request deadlines at `deadline`, the time by which the process exits.
     pub(super) fn shorten_deadlines(&mut self, deadline: Time) {
         self.deadlines.set_latest(deadline);
         for request in self.requests.iter_mut().filter(|request| request.deadline > deadline) {
--- a/src/bin/load-balancer-proxy/dispatcher/log.rs
+++ b/src/bin/load-balancer-proxy/dispatcher/log.rs
@@ -1,9 +1,9 @@
-//! The log lines of the dispatcher.
+//! Log events of the dispatcher.
 
 use crate::upstream::{Upstream, UpstreamRequest};
 use load_balancer::{AttemptNumber, AttemptResult, LogEvent, RequestId};
 
-/// An attempt was dispatched.
+/// Logs that an attempt was dispatched to a backend.
 pub(super) fn attempt_dispatched(
     request: &UpstreamRequest, id: RequestId, attempt: AttemptNumber, upstream: &Upstream,
 ) {
@@ -17,7 +17,7 @@
     );
 }
 
-/// An attempt ended.
+/// Logs the result of an attempt.
 pub(super) fn attempt_ended(request: &UpstreamRequest, result: &AttemptResult) {
     tracing::debug!(
         attempt = result.attempt.0,
@@ -29,7 +29,7 @@
     );
 }
 
-/// An event that the balancer reports.
+/// Logs an event that the balancer reports to operators.
 pub(super) fn balancer_event(event: &LogEvent) {
     match event {
         LogEvent::SubscriptionLost => tracing::info!("subscription lost, resubscribing"),
--- a/src/bin/load-balancer-proxy/dispatcher/message_handling.rs
+++ b/src/bin/load-balancer-proxy/dispatcher/message_handling.rs
@@ -1,5 +1,5 @@
-//! Handling of messages. The balancer receives them as events in its next tick; a served answer is sent to
-//! its client at once.
+//! Handling of messages. The balancer receives them as events in its next tick. A backend's successful
+//! response is sent to the client immediately.
 
 use super::deadlines::Deadline;
 use super::request_table::OpenRequest;
@@ -11,7 +11,7 @@
 use std::collections::HashMap;
 
 impl Dispatcher {
-    /// Applies a message to the requests and backends, and queues its event for the balancer.
+    /// Applies a message to the requests and backends and queues the corresponding event for the balancer.
     pub(super) fn handle_message(&mut self, message: DispatcherMessage) {
         match message {
             DispatcherMessage::RequestReceived(received) => self.request_received(received),
@@ -29,7 +29,7 @@
 
     fn request_received(&mut self, received: ReceivedRequest) {
         if self.requests.len() >= self.settings.max_open_requests {
-            // It reaches neither the balancer nor a backend.
+            // Rejected without involving the balancer.
             let retry_after = self.balancer.retry_after();
             let _ = received.answer.send(FinalAnswer::Rejected { retry_after });
             return;
@@ -50,7 +50,7 @@
             upstream_request: received.upstream_request,
             reply: Some(received.answer),
             attempts: HashMap::new(),
-            dispatched: 0,
+            dispatch_count: 0,
         });
     }
 
@@ -62,8 +62,8 @@
         }
     }
 
-    /// Ends an attempt in flight, and answers its client if it was served. A second end of the same attempt
-    /// is ignored: each has one outcome.
+    /// Ends an attempt in flight and forwards its response, if any, to the client. Does nothing if the
+    /// attempt has already ended, so that each attempt has exactly one outcome.
     pub(super) fn end_attempt(
         &mut self, now: Time, id: RequestId, number: AttemptNumber, result: UpstreamResult,
     ) {
@@ -84,7 +84,8 @@
         self.events.push(Event::EndpointListChanged { update, backends });
     }
 
-    /// The event stands behind those of earlier requests, which are numbered by the settings replaced.
+    /// Replaces the settings. The event is queued after those of earlier requests, whose class and tenant ids
+    /// refer to the replaced settings.
     fn settings_replaced(&mut self, replacement: SettingsReplacement) {
         let SettingsReplacement { settings, update, retired } = replacement;
         self.pool.set_timeouts(settings.connect_timeout, settings.idle_timeout);
--- a/src/bin/load-balancer-proxy/dispatcher/mod.rs
+++ b/src/bin/load-balancer-proxy/dispatcher/mod.rs
@@ -1,20 +1,20 @@
-//! The dispatcher owns the open requests and their attempts: it turns what happens into events for the
-//! balancer and carries out the actions that follow. Which requests are admitted, where an attempt goes and
-//! whether it is retried is decided by the balancer.
+//! The dispatcher owns the open requests and their attempts. It converts messages from the rest of the proxy
+//! into events for the balancer and executes the actions that the balancer returns. The balancer decides
+//! which requests are admitted, which backend receives an attempt, and whether a request is retried.
 //!
-//! Three things are decided here, since they hold whatever the balancer does: requests past the cap on open
-//! ones are rejected, what is overdue is failed, and an attempt of an answered or expired request is not
-//! sent.
+//! The dispatcher enforces three rules itself, so that they hold whatever the balancer does: it rejects
+//! requests beyond the limit on open requests, it fails overdue requests, and it does not send attempts of
+//! answered or expired requests.
 //!
 //! | concern | module |
 //! | --- | --- |
 //! | messages from the rest of the proxy | `message_handling` |
-//! | the balancer's tick, and its timers | `tick`, `timers` |
-//! | carrying out actions | `actions`, `attempt_report` |
+//! | balancer ticks and timers | `tick`, `timers` |
+//! | execution of actions | `actions`, `attempt_report` |
 //! | requests, attempts and deadlines | `request_table`, `deadlines` |
 //! | backends of the endpoint list | `backend_table` |
 //! | restart of the balancer after a panic | `recovery` |
-//! | log | `log` |
+//! | log events | `log` |
 
 mod actions;
 mod attempt_report;
@@ -42,14 +42,14 @@
 use timers::Timers;
 use tokio::sync::{mpsc, Notify};
 
-/// Idle connections are checked this often.
+/// Interval between checks for expired idle connections.
 const IDLE_CHECK_INTERVAL: Micros = Micros(1_000_000);
 
 /// Owns the open requests, their attempts and the balancer.
 pub struct Dispatcher {
     clock: Clock,
     settings: Arc<Settings>,
-    /// Seeds the balancer; another one after each restart of it.
+    /// Seed of the balancer's random numbers; changes with each restart of the balancer.
     seed: u64,
     balancer: Balancer,
     pool: Rc<ConnectionPool>,
@@ -57,32 +57,32 @@
     requests: RequestTable,
     deadlines: Deadlines,
     timers: Timers,
-    /// What the balancer handles in its next tick.
+    /// Events that the balancer handles in its next tick.
     events: Vec<Event>,
-    /// Empty between events; kept for its allocation.
+    /// Buffer for the actions of one event, reused to avoid allocations; empty between events.
     actions: Vec<Action>,
-    /// The balancer handles no event before.
+    /// Earliest time at which the balancer handles events.
     next_tick: Time,
-    /// Where attempts report their end.
+    /// Channel to the dispatcher itself, on which attempts report their end.
     messages: mpsc::UnboundedSender<DispatcherMessage>,
     resubscribe: Rc<Notify>,
     status: Rc<ServingStatus>,
 }
 
-/// What the dispatcher shares with the rest of the program.
+/// Handles that the dispatcher shares with the rest of the proxy.
 pub struct DispatcherHandles {
-    /// The connections to backends.
+    /// Pool of connections to backends.
     pub pool: Rc<ConnectionPool>,
-    /// Sends to the dispatcher itself.
+    /// Sender of messages to the dispatcher itself.
     pub messages: mpsc::UnboundedSender<DispatcherMessage>,
-    /// Notified when the balancer asks for a new call to discovery.
+    /// Notified when the balancer requests a new discovery call.
     pub resubscribe: Rc<Notify>,
-    /// What the dispatcher tells the client side.
+    /// State that the client side of the proxy reads.
     pub status: Rc<ServingStatus>,
 }
 
 impl Dispatcher {
-    /// A dispatcher without requests or backends. Fails where the balancer's configuration is not sound.
+    /// Creates a dispatcher without requests or backends. Fails if the balancer's configuration is invalid.
     pub fn new(
         settings: Arc<Settings>, seed: u64, handles: DispatcherHandles,
     ) -> Result<Dispatcher, ConfigError> {
@@ -106,7 +106,8 @@
         })
     }
 
-    /// Runs until no sender of messages is left; it holds one itself, so that this does not happen.
+    /// Runs the event loop. It never returns: it would end once all message senders are dropped, but the
+    /// dispatcher holds one itself.
     pub async fn run(mut self, mut messages: mpsc::UnboundedReceiver<DispatcherMessage>) {
         let sleep = tokio::time::sleep_until(self.clock.instant(self.clock.now()));
         tokio::pin!(sleep);
@@ -138,7 +139,8 @@
         }
     }
 
-    /// When something is due by time alone: a deadline at any time, all else not before the next tick.
+    /// Returns the time of the next wake-up if no message arrives. Request deadlines are handled at any time,
+    /// all other work not before the next tick.
     fn next_wakeup(&self) -> Time {
         let balancer_due = if self.events.is_empty() { self.timers.next() } else { self.next_tick };
         let tick_due = balancer_due.min(self.deadlines.next_overdue()).max(self.next_tick);
@@ -149,7 +151,8 @@
         self.expire_deadlines(now);
         if now >= self.next_tick {
             self.run_tick(now);
-            // After the tick: a late wake-up brings a deadline and the tick that answers it at one moment.
+            // Must follow the tick: after a late wake-up, a request's grace period may end in the same
+            // tick in which the balancer answers it.
             self.fail_overdue(now);
         }
     }
--- a/src/bin/load-balancer-proxy/dispatcher/recovery.rs
+++ b/src/bin/load-balancer-proxy/dispatcher/recovery.rs
@@ -1,12 +1,13 @@
-//! Recovery from a panic of the balancer: it is replaced by a new one.
+//! Recovery from a panic of the balancer, which is replaced by a new instance.
 
 use super::Dispatcher;
 use crate::messages::FinalAnswer;
 use load_balancer::{Balancer, EndpointListUpdate, Event};
 
 impl Dispatcher {
-    /// Replaces the balancer, whose state cannot be trusted after a panic. The new one starts from the
-    /// endpoint list, and all open requests are failed. The panic hook has reported the panic itself.
+    /// Replaces the balancer, whose state may be inconsistent after a panic, and fails all open requests. The
+    /// new balancer starts with the current endpoint list. The panic itself has been logged by the panic
+    /// hook.
     pub(super) fn restart_balancer(&mut self) {
         tracing::error!(failed_requests = self.requests.len(), "balancer panicked, starting anew");
         self.seed = self.seed.wrapping_add(1); // the same seed could lead to the same panic
@@ -16,8 +17,8 @@
         }
         self.fail_all_requests();
         self.timers.clear();
-        // They concern requests that are failed, or what the new balancer starts from; deadlines stay cut
-        // here.
+        // The queued events refer to requests that have just been failed or to state that the new balancer
+        // starts with. If one of them announced a shutdown, the dispatcher still caps the deadlines.
         self.events.clear();
         let backends = self.backends.entries();
         self.events.push(Event::EndpointListChanged { update: EndpointListUpdate::Cached, backends });
--- a/src/bin/load-balancer-proxy/dispatcher/request_table.rs
+++ b/src/bin/load-balancer-proxy/dispatcher/request_table.rs
@@ -16,50 +16,50 @@
     pub task: AbortHandle,
 }
 
-/// A request that is owed an answer or has attempts in flight.
+/// A request that is pending or still has attempts in flight.
 pub(super) struct OpenRequest {
     pub id: RequestId,
     pub deadline: Time,
     pub upstream_request: Rc<UpstreamRequest>,
-    /// `None`: it has had its final answer, or its client is gone.
+    /// Sender of the final answer; `None` once the answer has been sent or the client has disconnected.
     pub reply: Option<oneshot::Sender<FinalAnswer>>,
     pub attempts: HashMap<AttemptNumber, AttemptTask>,
-    /// How many attempts the balancer has asked for so far.
-    pub dispatched: u32,
+    /// Number of attempts that the balancer has requested so far.
+    pub dispatch_count: u32,
 }
 
 impl OpenRequest {
-    /// Whether no answer is owed any more.
+    /// Returns whether the final answer has been sent or the client has disconnected.
     pub fn is_answered(&self) -> bool {
         self.reply.is_none()
     }
 
-    /// Whether it is answered and nothing of it is in flight.
+    /// Returns whether the request is answered and has no attempts in flight.
     pub fn is_finished(&self) -> bool {
         self.is_answered() && self.attempts.is_empty()
     }
 
-    /// Marks it as answered and returns the sender to its client, if an answer was owed.
+    /// Marks the request as answered and returns the sender of the answer if the request was still pending.
     pub fn take_reply(&mut self) -> Option<oneshot::Sender<FinalAnswer>> {
         self.upstream_request.mark_answered();
         self.reply.take()
     }
 
-    /// Sends the final answer, if one is owed.
+    /// Sends the final answer if the request is still pending.
     pub fn answer(&mut self, answer: FinalAnswer) {
         if let Some(reply) = self.take_reply() {
             let _ = reply.send(answer);
         }
     }
 
-    /// The number of its next attempt, which counts as dispatched from now on.
+    /// Allocates the number of the next attempt.
     pub fn next_attempt(&mut self) -> AttemptNumber {
-        let attempt = AttemptNumber(self.dispatched);
-        self.dispatched += 1;
+        let attempt = AttemptNumber(self.dispatch_count);
+        self.dispatch_count += 1;
         attempt
     }
 
-    /// The event that an attempt ended, which is logged too.
+    /// Logs the end of an attempt and returns the event for the balancer.
     pub fn attempt_ended(&self, attempt: AttemptNumber, outcome: Outcome, latency: Micros) -> Event {
         let answered = self.is_answered();
         let result = AttemptResult { request: self.id, attempt, outcome, latency, answered };
@@ -68,55 +68,51 @@
     }
 }
 
-/// The open requests.
+/// All open requests by id.
 #[derive(Default)]
 pub(super) struct RequestTable {
     open: HashMap<RequestId, OpenRequest>,
-    /// Requests to be removed after the next tick.
+    /// Requests to remove after the next tick.
     finished: Vec<RequestId>,
 }
 
 impl RequestTable {
-    /// How many requests are open.
     pub fn len(&self) -> usize {
         self.open.len()
     }
 
-    /// An open request.
     pub fn get(&self, id: RequestId) -> Option<&OpenRequest> {
         self.open.get(&id)
     }
 
-    /// An open request.
     pub fn get_mut(&mut self, id: RequestId) -> Option<&mut OpenRequest> {
         self.open.get_mut(&id)
     }
 
-    /// All open requests, in no order.
+    /// Iterates over all open requests, in arbitrary order.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = &mut OpenRequest> {
         self.open.values_mut()
     }
 
-    /// Adds a request under its id.
     pub fn insert(&mut self, request: OpenRequest) {
         self.open.insert(request.id, request);
     }
 
-    /// Removes and returns all requests, in no order.
+    /// Removes and returns all requests, in arbitrary order.
     pub fn drain(&mut self) -> impl Iterator<Item = OpenRequest> + '_ {
         self.open.drain().map(|(_, request)| request)
     }
 
-    /// Marks a request to be removed if it is finished.
+    /// Marks a request for removal if it is finished.
     pub fn mark_if_finished(&mut self, id: RequestId) {
         if self.is_finished(id) {
             self.finished.push(id);
         }
     }
 
-    /// Removes the finished requests, after the balancer has handled their events. Until then it may ask for
-    /// another attempt, which must end under its own number: else the balancer counts it as in flight for
-    /// ever.
+    /// Removes the finished requests once the balancer has handled their events. Until then the balancer may
+    /// request another attempt of them, whose end must be reported under its own attempt number. Otherwise
+    /// the balancer would count that attempt as in flight forever.
     pub fn remove_finished(&mut self, deadlines: &mut Deadlines) {
         for id in std::mem::take(&mut self.finished) {
             if !self.is_finished(id) {
--- a/src/bin/load-balancer-proxy/dispatcher/tests.rs
+++ b/src/bin/load-balancer-proxy/dispatcher/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the dispatcher against its own state.
+//! Unit tests that inspect the dispatcher's internal state.
 
 use super::attempt_report::AttemptReport;
 use super::request_table::AttemptTask;
@@ -38,10 +38,10 @@
     let (messages, _received) = mpsc::unbounded_channel();
     let pool = Rc::new(ConnectionPool::new(clock, SECOND, SECOND, 8));
     let handles = DispatcherHandles { pool, messages, resubscribe: Rc::default(), status: Rc::default() };
-    Dispatcher::new(Arc::new(settings()), 1, handles).expect("sound")
+    Dispatcher::new(Arc::new(settings()), 1, handles).expect("valid configuration")
 }
 
-/// Hands the dispatcher a request and returns the channel of its answer.
+/// Passes a request to the dispatcher and returns the receiver of its final answer.
 fn receive(dispatcher: &mut Dispatcher, id: RequestId, deadline: Time) -> oneshot::Receiver<FinalAnswer> {
     let (reply, answer) = oneshot::channel();
     let upstream_request = UpstreamRequest::new(hyper::Request::new(()), Bytes::new(), Micros(0));
@@ -65,59 +65,63 @@
     }
 }
 
-/// The balancer may ask for a hedged request in the very tick in which the answer came: that attempt is the
-/// second.
+/// Guards against reusing an attempt number when the balancer hedges a request in the tick in which it is
+/// answered.
 #[tokio::test]
-async fn an_attempt_after_the_answer_ends_under_its_own_number() {
+async fn an_attempt_dispatched_after_the_answer_ends_with_its_own_number() {
     let clock = Clock::new();
     let mut dispatcher = dispatcher(clock);
     let id = RequestId(1);
     let mut answer = receive(&mut dispatcher, id, clock.now() + SECOND);
     let sent_at = clock.now();
     let task = tokio::spawn(std::future::pending::<()>()).abort_handle();
-    let request = dispatcher.requests.get_mut(id).expect("open");
+    let request = dispatcher.requests.get_mut(id).expect("open request");
     request.attempts.insert(AttemptNumber(0), AttemptTask { sent_at, task });
-    request.dispatched = 1;
+    request.dispatch_count = 1;
     let result = UpstreamResult { outcome: Outcome::Success, response: Some(Response::new(Bytes::new())) };
     dispatcher.handle_message(DispatcherMessage::AttemptEnded {
         request: id,
         attempt: AttemptNumber(0),
         result,
     });
-    assert!(matches!(answer.try_recv(), Ok(FinalAnswer::Served(_))), "at once");
+    assert!(matches!(answer.try_recv(), Ok(FinalAnswer::Served(_))), "the response is forwarded immediately");
     dispatcher.dispatch(clock.now(), id, BackendId(7), None);
-    let Some(Event::AttemptEnded(end)) = dispatcher.events.last() else { panic!("an outcome") };
+    let Some(Event::AttemptEnded(end)) = dispatcher.events.last() else {
+        panic!("expected an AttemptEnded event")
+    };
     let expected = (AttemptNumber(1), Outcome::NotSent, true);
     assert_eq!((end.attempt, end.outcome, end.answered), expected);
     dispatcher.requests.remove_finished(&mut dispatcher.deadlines);
-    assert_eq!(dispatcher.requests.len(), 0, "no request is left");
-    assert_eq!(dispatcher.deadlines.next(), Time::NEVER, "no deadline is left");
+    assert_eq!(dispatcher.requests.len(), 0, "all requests are removed");
+    assert_eq!(dispatcher.deadlines.next(), Time::NEVER, "all deadlines are removed");
 }
 
-/// The task of an attempt may end by a panic after its request was written.
+/// Guards against losing the outcome of an attempt whose task panics after the request was written.
 #[test]
-fn an_attempt_report_that_is_dropped_unsent_reports_a_reset() {
+fn an_attempt_report_dropped_unsent_reports_a_connection_reset() {
     let (messages, mut reported) = mpsc::unbounded_channel();
     drop(AttemptReport::new(messages, RequestId(1), AttemptNumber(2)));
     let Ok(DispatcherMessage::AttemptEnded { request, attempt, result }) = reported.try_recv() else {
-        panic!("a report");
+        panic!("expected an AttemptEnded message");
     };
     assert_eq!((request, attempt), (RequestId(1), AttemptNumber(2)));
     assert_eq!(result.outcome, Outcome::ConnectionReset);
     assert!(result.response.is_none());
-    assert!(reported.try_recv().is_err(), "one report");
+    assert!(reported.try_recv().is_err(), "exactly one report");
 }
 
 #[test]
 fn an_attempt_report_is_sent_once() {
     let (messages, mut reported) = mpsc::unbounded_channel();
     AttemptReport::new(messages, RequestId(1), AttemptNumber(0)).send(Outcome::Rejected.into());
-    let Ok(DispatcherMessage::AttemptEnded { result, .. }) = reported.try_recv() else { panic!("a report") };
+    let Ok(DispatcherMessage::AttemptEnded { result, .. }) = reported.try_recv() else {
+        panic!("expected an AttemptEnded message")
+    };
     assert_eq!(result.outcome, Outcome::Rejected);
-    assert!(reported.try_recv().is_err(), "one report");
+    assert!(reported.try_recv().is_err(), "exactly one report");
 }
 
-/// A request that the balancer does not answer is failed, but not before the balancer's last chance to.
+/// Guards against failing an overdue request before the balancer's last opportunity to answer it, or never.
 #[tokio::test]
 async fn an_unanswered_request_is_failed_two_ticks_after_its_deadline() {
     let clock = Clock::new();
@@ -128,15 +132,15 @@
     let failed_at = deadline + Micros(2 * dispatcher.settings.balancer.tick.0);
     dispatcher.expire_deadlines(deadline);
     dispatcher.fail_overdue(Time(failed_at.0 - 1));
-    assert!(answer.try_recv().is_err(), "still the balancer's to answer");
+    assert!(answer.try_recv().is_err(), "not failed before the grace period ends");
     dispatcher.fail_overdue(failed_at);
     assert!(matches!(answer.try_recv(), Ok(FinalAnswer::Failed)));
     assert_eq!(dispatcher.events.last(), Some(&Event::ClientDisconnected { request: id }));
     dispatcher.requests.remove_finished(&mut dispatcher.deadlines);
-    assert_eq!(dispatcher.requests.len(), 0, "no request is left");
+    assert_eq!(dispatcher.requests.len(), 0, "all requests are removed");
 }
 
-/// What a new balancer starts from: no request, and the endpoint list as it was.
+/// Guards against a restarted balancer that lacks the endpoint list or receives events of failed requests.
 #[tokio::test]
 async fn a_restart_of_the_balancer_fails_open_requests_and_keeps_the_endpoint_list() {
     let clock = Clock::new();
@@ -153,10 +157,10 @@
     let mut answer = receive(&mut dispatcher, RequestId(1), clock.now() + SECOND);
     dispatcher.restart_balancer();
     assert!(matches!(answer.try_recv(), Ok(FinalAnswer::Failed)));
-    assert_eq!(dispatcher.requests.len(), 0, "no request is left");
-    assert_eq!(dispatcher.deadlines.next(), Time::NEVER, "no deadline is left");
+    assert_eq!(dispatcher.requests.len(), 0, "all requests are removed");
+    assert_eq!(dispatcher.deadlines.next(), Time::NEVER, "all deadlines are removed");
     let [Event::EndpointListChanged { update, backends }] = &mut dispatcher.events[..] else {
-        panic!("the list alone: {:?}", dispatcher.events);
+        panic!("expected only the endpoint list: {:?}", dispatcher.events);
     };
     backends.sort_by_key(|backend| backend.id);
     let states: Vec<_> = backends.iter().map(|backend| (backend.id, backend.state)).collect();
--- a/src/bin/load-balancer-proxy/dispatcher/timers.rs
+++ b/src/bin/load-balancer-proxy/dispatcher/timers.rs
@@ -1,4 +1,4 @@
-//! The timers that the balancer has set.
+//! Timers that the balancer has set.
 
 use load_balancer::{Time, TimerToken};
 use std::cmp::Reverse;
@@ -10,24 +10,23 @@
     token: TimerToken,
 }
 
-/// Timers, the soonest first.
+/// Pending timers, ordered by expiry time.
 #[derive(Default)]
 pub(super) struct Timers {
     heap: BinaryHeap<Reverse<Timer>>,
 }
 
 impl Timers {
-    /// When the next timer fires, or [`Time::NEVER`].
+    /// Returns the time at which the next timer fires, or [`Time::NEVER`] if there is none.
     pub fn next(&self) -> Time {
         self.heap.peek().map_or(Time::NEVER, |Reverse(timer)| timer.at)
     }
 
-    /// Adds a timer.
     pub fn set(&mut self, at: Time, token: TimerToken) {
         self.heap.push(Reverse(Timer { at, token }));
     }
 
-    /// Removes the next timer that is due.
+    /// Removes the earliest timer if it is due and returns its token.
     pub fn pop_due(&mut self, now: Time) -> Option<TimerToken> {
         if self.next() > now {
             return None;
@@ -35,7 +34,6 @@
         self.heap.pop().map(|Reverse(timer)| timer.token)
     }
 
-    /// Removes all timers.
     pub fn clear(&mut self) {
         self.heap.clear();
     }
--- a/src/bin/load-balancer-proxy/upstream/attempt.rs
+++ b/src/bin/load-balancer-proxy/upstream/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt: a connection is acquired, the request written, the response read, all of it to one outcome.
+//! One attempt: acquires a connection, writes the request, reads the response, and determines the outcome.
 
 use super::backend::Upstream;
 use super::connection_pool::{ConnectionPool, PooledConnection};
@@ -15,14 +15,14 @@
 
 /// How an attempt ended.
 pub struct UpstreamResult {
-    /// The outcome for the balancer.
+    /// The outcome that is reported to the balancer.
     pub outcome: Outcome,
-    /// The response for the client, where the outcome is [`Outcome::Success`].
+    /// The response for the client; `Some` only if the outcome is [`Outcome::Success`].
     pub response: Option<Response<Bytes>>,
 }
 
 impl UpstreamResult {
-    /// The backend served the request.
+    /// Creates the result of an attempt whose response is forwarded to the client.
     pub fn served(response: Response<Bytes>) -> UpstreamResult {
         UpstreamResult { outcome: Outcome::Success, response: Some(response) }
     }
@@ -34,44 +34,45 @@
     }
 }
 
-/// The times that bound an attempt.
+/// Time limits of an attempt.
 #[derive(Clone, Copy)]
 pub struct AttemptLimits {
-    /// A request that is not fully written by then is not sent.
+    /// The request must be fully written by this time; otherwise the attempt ends as [`Outcome::NotSent`].
     pub write_by: Time,
-    /// When the client's time is over: what is left of it is sent to the backend.
+    /// Deadline of the client's request, from which the time left that the backend receives is computed.
     pub deadline: Time,
 }
 
-/// A reused connection failed before a byte of the request was written: the attempt may use another one.
+/// A reused connection failed before any byte of the request was written, so that the attempt may
+/// continue on another connection.
 struct StaleConnection;
 
 impl ConnectionPool {
-    /// Makes one attempt; dropping the future, as the dispatcher does at the deadline, closes its connection.
+    /// Makes one attempt. Dropping the future, as the dispatcher does at the deadline, closes the connection.
     ///
-    /// | what happened | outcome |
+    /// | event | outcome |
     /// | --- | --- |
-    /// | a complete response | [`Outcome::Success`], [`Outcome::ErrorResponse`] or [`Outcome::Rejected`] |
-    /// | the time to write was over, or the request was answered | [`Outcome::NotSent`] |
-    /// | the backend began to drain, or this machine was short of resources | [`Outcome::NotSent`] |
-    /// | no connection, or it broke before the request was written whole | [`Outcome::ConnectFailed`] |
-    /// | the connection broke after that | [`Outcome::ConnectionReset`] |
-    /// | what came back is no valid response | [`Outcome::ErrorResponse`] |
+    /// | complete response | [`Outcome::Success`], [`Outcome::ErrorResponse`] or [`Outcome::Rejected`] |
+    /// | not fully written in time, or answered before that | [`Outcome::NotSent`] |
+    /// | the backend started to drain, or the proxy's machine ran out of resources | [`Outcome::NotSent`] |
+    /// | no connection, or it failed before the request was fully written | [`Outcome::ConnectFailed`] |
+    /// | the connection failed after the request was fully written | [`Outcome::ConnectionReset`] |
+    /// | malformed response | [`Outcome::ErrorResponse`] |
     pub async fn attempt(
         &self, upstream: &Rc<Upstream>, request: &UpstreamRequest, limits: AttemptLimits,
     ) -> UpstreamResult {
         let attempt = Attempt { pool: self, upstream, request, limits };
-        let mut write_window_over = pin!(attempt.write_window_over());
+        let mut write_window_closed = pin!(attempt.write_window_closed());
         loop {
-            // A stale connection is replaced by another.
-            if let Ok(result) = attempt.use_connection(write_window_over.as_mut()).await {
+            // Retries on another connection if the one used was stale.
+            if let Ok(result) = attempt.use_connection(write_window_closed.as_mut()).await {
                 return result;
             }
         }
     }
 }
 
-/// What one attempt works with.
+/// The parameters of one attempt.
 struct Attempt<'a> {
     pool: &'a ConnectionPool,
     upstream: &'a Rc<Upstream>,
@@ -80,54 +81,54 @@
 }
 
 impl Attempt<'_> {
-    /// Waits until the request must not be written any more.
-    async fn write_window_over(&self) {
+    /// Completes when the request must no longer be written: it was answered, or `write_by` has passed.
+    async fn write_window_closed(&self) {
         tokio::select! {
             () = self.request.wait_until_answered() => {}
             () = tokio::time::sleep_until(self.pool.clock.instant(self.limits.write_by)) => {}
         }
     }
 
-    /// Acquires a connection and makes the exchange over it.
+    /// Acquires a connection and performs the exchange over it.
     async fn use_connection(
-        &self, mut write_window_over: Pin<&mut impl Future<Output = ()>>,
+        &self, mut write_window_closed: Pin<&mut impl Future<Output = ()>>,
     ) -> Result<UpstreamResult, StaleConnection> {
         let acquired = tokio::select! {
             biased;
-            () = &mut write_window_over => return Ok(Outcome::NotSent.into()),
+            () = &mut write_window_closed => return Ok(Outcome::NotSent.into()),
             acquired = self.pool.acquire(self.upstream) => acquired,
         };
         let pooled = match acquired {
             Ok(pooled) => pooled,
             Err(error) => return Ok(error.outcome().into()),
         };
-        // It may have begun to drain while the connection came up.
+        // The backend may have started to drain while the connection was being established.
         if !self.upstream.is_ready() {
             return Ok(Outcome::NotSent.into());
         }
         let Some(request) = self.request.to_http(self.limits.deadline - self.pool.clock.now()) else {
             return Ok(Outcome::NotSent.into());
         };
-        self.exchange_over(pooled, request, write_window_over).await
+        self.exchange_over(pooled, request, write_window_closed).await
     }
 
-    /// Writes the request and reads the response, if the request is fully written in time.
+    /// Writes the request and reads the response. Stops if the request is not fully written in time.
     async fn exchange_over(
         &self, pooled: PooledConnection, request: Request<Full<Bytes>>,
-        write_window_over: Pin<&mut impl Future<Output = ()>>,
+        write_window_closed: Pin<&mut impl Future<Output = ()>>,
     ) -> Result<UpstreamResult, StaleConnection> {
         let PooledConnection { mut connection, is_reused } = pooled;
         let progress = connection.write_progress();
-        let unwritten = async {
-            write_window_over.await;
+        let not_written_in_time = async {
+            write_window_closed.await;
             if progress.get() == WriteProgress::Complete {
-                pending::<()>().await; // it may be executed now, and only the balancer may cancel it
+                pending::<()>().await; // the backend may be executing it; only the balancer may cancel it now
             }
         };
         let exchanged = tokio::select! {
             biased;
             exchanged = connection.exchange(request) => exchanged,
-            () = unwritten => return Ok(Outcome::NotSent.into()),
+            () = not_written_in_time => return Ok(Outcome::NotSent.into()),
         };
         match exchanged {
             Ok(result) => {
@@ -135,13 +136,13 @@
                 Ok(result)
             }
             Err(_) if is_reused && progress.get() == WriteProgress::NotStarted => Err(StaleConnection),
-            Err(error) => Ok(failed_exchange(&error, progress.get()).into()),
+            Err(error) => Ok(failure_outcome(&error, progress.get()).into()),
         }
     }
 }
 
-/// The outcome of an exchange without a response.
-fn failed_exchange(error: &ExchangeError, progress: WriteProgress) -> Outcome {
+/// Returns the outcome of a failed exchange.
+fn failure_outcome(error: &ExchangeError, progress: WriteProgress) -> Outcome {
     match (progress, error) {
         (WriteProgress::NotStarted | WriteProgress::Partial, _) => Outcome::ConnectFailed,
         (WriteProgress::Complete, ExchangeError::ConnectionBroken) => Outcome::ConnectionReset,
--- a/src/bin/load-balancer-proxy/upstream/connection.rs
+++ b/src/bin/load-balancer-proxy/upstream/connection.rs
@@ -15,18 +15,19 @@
 use std::task::Poll;
 use tokio::net::TcpStream;
 
-/// A connection, polled only by the attempt that uses it: dropping it closes the socket at once.
+/// An HTTP/1 connection. It has no task of its own but is polled by the attempt that uses it, so that
+/// dropping it closes the socket immediately.
 pub(super) struct Connection {
     sender: SendRequest<Full<Bytes>>,
     driver: Pin<Box<http1::Connection<UpstreamSocket, Full<Bytes>>>>,
     write_progress: Rc<Cell<WriteProgress>>,
-    /// The driver has run to its end and is not polled again.
+    /// Whether the driver has completed, after which it must not be polled again.
     is_closed: bool,
     _slot: SocketSlot,
 }
 
 impl Connection {
-    /// Starts HTTP on a connected socket.
+    /// Performs hyper's HTTP/1 handshake on a connected socket.
     pub async fn open(stream: TcpStream, slot: SocketSlot) -> hyper::Result<Connection> {
         let write_progress = Rc::new(Cell::new(WriteProgress::default()));
         let socket = UpstreamSocket::new(stream, write_progress.clone());
@@ -34,12 +35,13 @@
         Ok(Connection { sender, driver: Box::pin(driver), write_progress, is_closed: false, _slot: slot })
     }
 
-    /// How much of the present request was written, also while an exchange runs.
+    /// Returns a shared handle to the write progress of the current request, which is updated during an
+    /// exchange.
     pub fn write_progress(&self) -> Rc<Cell<WriteProgress>> {
         self.write_progress.clone()
     }
 
-    /// Sends the request and reads the response to its end. A connection that breaks shows in the result.
+    /// Sends the request and reads the complete response. A connection failure is returned as an error.
     pub async fn exchange(&mut self, request: Request<Full<Bytes>>) -> Result<UpstreamResult, ExchangeError> {
         self.write_progress.set(WriteProgress::NotStarted);
         let mut exchange = pin!(response::send_and_read(&mut self.sender, request));
@@ -52,10 +54,11 @@
         .await
     }
 
-    /// Whether it can take a request: the backend has not closed it and the last response is done.
+    /// Returns whether the connection can carry another request: the backend has not closed it, and the last
+    /// response is complete.
     pub async fn is_reusable(&mut self) -> bool {
-        // One poll, which never waits. A closed connection is not polled again: it would never be ready, and
-        // what waits on it would be held back until the deadline.
+        // Polls the driver once, without waiting. A closed connection is not polled again: it would never
+        // become ready, and its attempt would wait until the deadline.
         if !self.is_closed {
             self.is_closed =
                 poll_fn(|context| Poll::Ready(self.driver.as_mut().poll(context).is_ready())).await;
--- a/src/bin/load-balancer-proxy/upstream/connection_pool.rs
+++ b/src/bin/load-balancer-proxy/upstream/connection_pool.rs
@@ -1,5 +1,5 @@
-//! The pool of connections to backends: connections are kept for reuse, opened within the socket budget, and
-//! closed once they have been idle for too long.
+//! Connection pool. It keeps idle connections to backends for reuse, opens new ones within the socket budget,
+//! and closes connections that have been idle for too long.
 
 use super::backend::{IdleConnection, Upstream, REUSE_DELAY};
 use super::connection::Connection;
@@ -12,29 +12,29 @@
 use std::net::SocketAddr;
 use std::rc::{Rc, Weak};
 
-/// Part of the backend's own limit after which an idle connection is closed from this side: a request written
-/// while the backend closes it would end as a reset.
+/// Idle connections are closed after this fraction of the backend's own idle timeout. A request that is
+/// written while the backend closes the connection would end with a connection reset.
 const IDLE_LIMIT_FRACTION: f64 = 0.75;
-/// An idle connection is closed after this time in any case: many proxies that each keep connections to
-/// backends out of use would fill the backends' tables.
+/// Upper limit on the idle timeout. Otherwise many proxies, each with idle connections to backends that they
+/// no longer use, would fill the backends' connection tables.
 const MAX_IDLE_TIME: Micros = Micros(5_000_000);
 
-/// Why no connection was opened.
+/// Error when opening a connection.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum OpenError {
-    /// No socket was connected.
+    /// The TCP connect failed.
     #[error("{0}")]
     Connect(ConnectError),
-    /// The connection ended before it could take a request.
+    /// The HTTP handshake failed.
     #[error("{0}")]
     Handshake(hyper::Error),
 }
 
 impl OpenError {
-    /// The outcome of the attempt that needed the connection.
+    /// Returns the outcome of the attempt that needed the connection.
     pub fn outcome(&self) -> Outcome {
         match self {
-            // It says nothing against the backend.
+            // The cause is local, so it must not count against the backend.
             OpenError::Connect(ConnectError::ResourcesExhausted) => Outcome::NotSent,
             OpenError::Connect(ConnectError::Failed(_) | ConnectError::TimedOut)
             | OpenError::Handshake(_) => Outcome::ConnectFailed,
@@ -42,29 +42,30 @@
     }
 }
 
-/// A connection that is lent to one attempt.
+/// A connection acquired from the pool for one attempt.
 pub(super) struct PooledConnection {
     pub connection: Connection,
-    /// It has carried requests before.
+    /// Whether it has carried a request before.
     pub is_reused: bool,
 }
 
-/// The connections to all backends.
+/// Pool of the connections to all backends.
 pub struct ConnectionPool {
-    /// The time for the upstream side and the dispatcher.
+    /// Clock shared by the pool, its attempts and the dispatcher.
     pub clock: Clock,
-    /// A connection that is not open after this time counts as failed.
+    /// Time limit for opening a connection.
     connect_timeout: Cell<Micros>,
-    /// An idle connection is closed after this time.
+    /// Time after which an idle connection is closed.
     idle_limit: Cell<Micros>,
     sockets: SocketBudget,
-    /// The backends that may have idle connections, each once.
-    with_idle: RefCell<VecDeque<Weak<Upstream>>>,
+    /// Backends that may have idle connections, without duplicates, in the order in which connections are
+    /// closed to free a socket.
+    backends_with_idle: RefCell<VecDeque<Weak<Upstream>>>,
 }
 
 impl ConnectionPool {
-    /// `backend_idle_limit` is when a backend closes an idle connection; `max_sockets` may be held at once,
-    /// idle ones included.
+    /// Creates an empty pool. `backend_idle_limit` is the time after which a backend closes an idle
+    /// connection. `max_sockets` limits the number of open sockets, including those of idle connections.
     pub fn new(
         clock: Clock, connect_timeout: Micros, backend_idle_limit: Micros, max_sockets: usize,
     ) -> ConnectionPool {
@@ -73,19 +74,21 @@
             connect_timeout: Cell::default(),
             idle_limit: Cell::default(),
             sockets: SocketBudget::new(max_sockets),
-            with_idle: RefCell::default(),
+            backends_with_idle: RefCell::default(),
         };
         pool.set_timeouts(connect_timeout, backend_idle_limit);
         pool
     }
 
-    /// Sets the times for the connections that are opened or found idle from now on.
+    /// Changes the connect timeout and the idle timeout. Applies to connects that start from now on and to
+    /// all idle connections.
     pub fn set_timeouts(&self, connect_timeout: Micros, backend_idle_limit: Micros) {
         self.connect_timeout.set(connect_timeout);
         self.idle_limit.set(backend_idle_limit.times(IDLE_LIMIT_FRACTION).min(MAX_IDLE_TIME));
     }
 
-    /// Closes the connections to a backend that have been idle for too long, or that the backend has closed.
+    /// Closes the idle connections to a backend that have reached the idle timeout or that the backend has
+    /// closed.
     pub async fn close_expired_idle(&self, upstream: &Rc<Upstream>) {
         let mut kept = upstream.take_all_idle();
         let oldest = self.clock.now().saturating_sub(self.idle_limit.get());
@@ -97,7 +100,7 @@
         }
     }
 
-    /// A connection to the backend: one that is kept for reuse, else a new one.
+    /// Returns an idle connection to the backend if one can be reused, otherwise opens a new one.
     pub(super) async fn acquire(&self, upstream: &Upstream) -> Result<PooledConnection, OpenError> {
         match self.reuse_idle(upstream).await {
             Some(connection) => Ok(PooledConnection { connection, is_reused: true }),
@@ -108,7 +111,8 @@
         }
     }
 
-    /// Takes a connection back after its response, where it can carry another request.
+    /// Returns a connection to the pool after its response. Closes it if it cannot carry another
+    /// request or the backend is draining.
     pub(super) async fn release(&self, upstream: &Rc<Upstream>, mut connection: Connection) {
         if connection.is_reusable().await && upstream.is_ready() {
             self.keep_idle(upstream, IdleConnection { since: self.clock.now(), connection });
@@ -120,15 +124,16 @@
         if upstream.set_listed_as_idle(true) {
             return;
         }
-        let mut with_idle = self.with_idle.borrow_mut();
-        if with_idle.len() > 2 * self.sockets.limit() {
-            with_idle.retain(|upstream| upstream.strong_count() > 0); // backends that were replaced
+        let mut backends_with_idle = self.backends_with_idle.borrow_mut();
+        if backends_with_idle.len() > 2 * self.sockets.limit() {
+            backends_with_idle.retain(|upstream| upstream.strong_count() > 0); // backends that were replaced
         }
-        with_idle.push_back(Rc::downgrade(upstream));
+        backends_with_idle.push_back(Rc::downgrade(upstream));
     }
 
-    /// An idle connection past its [`REUSE_DELAY`] that the backend has not closed. Waiting for the delay
-    /// takes no longer than opening another connection, which costs the backend a handshake.
+    /// Returns an idle connection that the backend has not closed, waiting for its [`REUSE_DELAY`] if
+    /// necessary. The wait takes no longer than opening another connection, which would cost the backend a
+    /// handshake.
     async fn reuse_idle(&self, upstream: &Upstream) -> Option<Connection> {
         loop {
             let IdleConnection { since, mut connection } = upstream.take_idle(self.clock.now())?;
@@ -155,7 +160,8 @@
         Connection::open(stream, slot).await.map_err(OpenError::Handshake)
     }
 
-    /// A socket of the budget, if there is one left or an idle connection can be closed for it.
+    /// Reserves a socket. If the budget is exhausted, closes an idle connection first; returns `None` if
+    /// there is none.
     fn reserve_socket(&self) -> Option<SocketSlot> {
         if self.sockets.is_exhausted() && !self.close_any_idle() {
             return None;
@@ -163,18 +169,22 @@
         Some(self.sockets.take())
     }
 
-    /// Closes an idle connection to any backend, each backend in turn; false where there is none.
+    /// Closes one idle connection, cycling through the backends round-robin. Returns `false` if there is
+    /// none.
     fn close_any_idle(&self) -> bool {
-        let mut with_idle = self.with_idle.borrow_mut();
-        while let Some(listed) = with_idle.pop_front() {
+        let mut backends_with_idle = self.backends_with_idle.borrow_mut();
+        while let Some(listed) = backends_with_idle.pop_front() {
             let Some(upstream) = listed.upgrade() else { continue };
             let idle = upstream.close_one_idle();
             upstream.set_listed_as_idle(idle.has_more);
             if idle.has_more {
-                with_idle.push_back(listed);
+                backends_with_idle.push_back(listed);
             }
             if idle.closed {
-                tracing::debug!(address = %upstream.endpoint.address, "idle connection closed for another");
+                tracing::debug!(
+                    address = %upstream.endpoint.address,
+                    "idle connection closed to free a socket"
+                );
                 return true;
             }
         }
--- a/src/bin/load-balancer-proxy/upstream/mod.rs
+++ b/src/bin/load-balancer-proxy/upstream/mod.rs
@@ -1,13 +1,14 @@
-//! The upstream side of the proxy: connections to backends, and attempts that each come to one outcome.
+//! The upstream side of the proxy: connections to backends, and attempts, each of which ends with one
+//! outcome.
 //!
 //! | concern | module |
 //! | --- | --- |
-//! | what a backend is sent | `request` |
-//! | one attempt, from a connection to its outcome | `attempt` |
-//! | one exchange, and how its response is judged | `response` |
+//! | requests as sent to backends | `request` |
+//! | one attempt, from acquiring a connection to the outcome | `attempt` |
+//! | one exchange, and the classification of its response | `response` |
 //! | one connection and its socket | `connection`, `socket` |
-//! | connections that are kept for reuse | `connection_pool`, `backend` |
-//! | how many sockets there may be | `socket_budget` |
+//! | connection pool and idle connections | `connection_pool`, `backend` |
+//! | limit on open sockets | `socket_budget` |
 
 mod attempt;
 mod backend;
--- a/src/bin/load-balancer-proxy/upstream/request.rs
+++ b/src/bin/load-balancer-proxy/upstream/request.rs
@@ -1,4 +1,4 @@
-//! What goes to a backend: the same in every attempt of a request but for the time left.
+//! Requests as sent to backends. All attempts of a request send the same message except for the time left.
 
 use crate::headers::{CORRELATION_ID, TIME_LEFT};
 use bytes::Bytes;
@@ -9,22 +9,24 @@
 use std::cell::Cell;
 use tokio::sync::Notify;
 
-/// The time left that a backend is sent is this much less than what its client has left: an allowance for the
-/// time until the request is written.
+/// Subtracted from the client's time left before it is sent to a backend, as an allowance for the time until
+/// the request is written.
 const TIME_LEFT_MARGIN: Micros = Micros(10_000);
 
-/// A client's request as it is forwarded, shared by all of its attempts.
+/// A client's request as forwarded to backends, shared by all of its attempts.
 pub struct UpstreamRequest {
     head: Request<()>,
     body: Bytes,
-    /// How long it may have waited before it was read: so much of its client's time had passed already.
+    /// Upper bound on the time that the request waited before it was read, which already counts towards the
+    /// client's time limit.
     time_before_read: Micros,
     is_answered: Cell<bool>,
     answered: Notify,
 }
 
 impl UpstreamRequest {
-    /// `time_before_read` is how long the request may have waited before it was read.
+    /// Creates a request to forward. `time_before_read` is an upper bound on the time that it waited before
+    /// it was read.
     pub fn new(head: Request<()>, body: Bytes, time_before_read: Micros) -> UpstreamRequest {
         UpstreamRequest {
             head,
@@ -35,13 +37,14 @@
         }
     }
 
-    /// The request has had its final answer, or its client is gone: no attempt of it is written from now on.
+    /// Records that the request has its final answer or its client has disconnected. No attempt of it is
+    /// written afterwards.
     pub fn mark_answered(&self) {
         self.is_answered.set(true);
         self.answered.notify_waiters();
     }
 
-    /// The id under which all parties know the request, for the log: `-` where it is not plain text.
+    /// Returns the correlation id header for log events, or `-` if it is missing or not visible ASCII.
     pub fn correlation_id(&self) -> &str {
         let value = self.head.headers().get(&CORRELATION_ID);
         value.and_then(|value| value.to_str().ok()).unwrap_or("-")
@@ -55,8 +58,8 @@
         }
     }
 
-    /// The HTTP request of an attempt. `None` where a backend would be left less than a millisecond: it would
-    /// drop the request, perhaps without saying so.
+    /// Builds the HTTP request of an attempt. Returns `None` if the backend would have less than a
+    /// millisecond left, since it could then drop the request without a response.
     pub(super) fn to_http(&self, time_left: Micros) -> Option<Request<Full<Bytes>>> {
         let millis = self.remaining_millis(time_left);
         if millis == 0 {
@@ -70,7 +73,7 @@
         Some(request)
     }
 
-    /// The time left that a backend is sent, in milliseconds, where `time_left` remains until the deadline.
+    /// Converts the time until the deadline to the time left that is sent to a backend, in milliseconds.
     fn remaining_millis(&self, time_left: Micros) -> u64 {
         time_left.0.saturating_sub(self.time_before_read.0).saturating_sub(TIME_LEFT_MARGIN.0) / 1000
     }
--- a/src/bin/load-balancer-proxy/upstream/response.rs
+++ b/src/bin/load-balancer-proxy/upstream/response.rs
@@ -1,4 +1,4 @@
-//! One exchange with a backend: the request is sent, the response read to its end and judged.
+//! One exchange with a backend: sends the request, reads the complete response and classifies it.
 
 use super::attempt::UpstreamResult;
 use crate::headers::{remove_hop_by_hop, MAX_BODY_BYTES, UNPROCESSED};
@@ -12,14 +12,14 @@
 use std::error::Error;
 use std::io;
 
-/// Why an exchange brought no response.
+/// Error of an exchange that did not yield a valid response.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ExchangeError {
-    /// The connection broke or ended.
-    #[error("the connection broke")]
+    /// The connection failed or was closed before the response was complete.
+    #[error("connection failed before the response was complete")]
     ConnectionBroken,
-    /// The backend sent something that is not a response.
-    #[error("the response is malformed")]
+    /// The backend sent an invalid response or one with a body over the size limit.
+    #[error("malformed response")]
     MalformedResponse,
 }
 
@@ -34,7 +34,8 @@
 }
 
 impl ExchangeError {
-    /// Why a body could not be read: it is too long or badly framed, or it was cut off.
+    /// Classifies an error of reading the body: the body exceeds the size limit or has invalid framing, or
+    /// the connection failed.
     fn from_body_error(error: &(dyn Error + 'static)) -> ExchangeError {
         let mut causes = std::iter::successors(Some(error), |error| (*error).source());
         if causes.any(is_malformed_body) {
@@ -47,11 +48,11 @@
 
 fn is_malformed_body(cause: &(dyn Error + 'static)) -> bool {
     let kind = cause.downcast_ref::<io::Error>().map(io::Error::kind);
-    let is_badly_framed = matches!(kind, Some(io::ErrorKind::InvalidData | io::ErrorKind::InvalidInput));
-    is_badly_framed || cause.is::<LengthLimitError>()
+    let has_invalid_framing = matches!(kind, Some(io::ErrorKind::InvalidData | io::ErrorKind::InvalidInput));
+    has_invalid_framing || cause.is::<LengthLimitError>()
 }
 
-/// Sends the request and reads the response to its end: a truncated one must not reach the client.
+/// Sends the request and reads the complete response, so that a truncated response never reaches the client.
 pub(super) async fn send_and_read(
     sender: &mut SendRequest<Full<Bytes>>, request: Request<Full<Bytes>>,
 ) -> Result<UpstreamResult, ExchangeError> {
@@ -61,10 +62,10 @@
     classify(head, body.to_bytes())
 }
 
-/// The result that a complete response stands for.
+/// Returns the result of an attempt that received a complete response.
 fn classify(mut head: Parts, body: Bytes) -> Result<UpstreamResult, ExchangeError> {
     match head.status {
-        StatusCode::OK if !is_readable(&head.headers) => Err(ExchangeError::MalformedResponse),
+        StatusCode::OK if !is_body_decoded(&head.headers) => Err(ExchangeError::MalformedResponse),
         StatusCode::OK => {
             remove_hop_by_hop(&mut head.headers);
             Ok(UpstreamResult::served(Response::from_parts(head, body)))
@@ -76,13 +77,13 @@
     }
 }
 
-/// Whether the body was decoded: hyper decodes no transfer coding but chunked.
-fn is_readable(headers: &HeaderMap) -> bool {
+/// Returns whether hyper has decoded the body. It supports no transfer coding other than chunked.
+fn is_body_decoded(headers: &HeaderMap) -> bool {
     let is_chunked = |value: &HeaderValue| value.as_bytes().eq_ignore_ascii_case(b"chunked");
     headers.get_all(TRANSFER_ENCODING).iter().all(is_chunked)
 }
 
-/// Whether the backend says that it did not execute the request.
+/// Returns whether the backend states that it did not execute the request.
 fn is_unprocessed(headers: &HeaderMap) -> bool {
     headers.get(&UNPROCESSED).is_some_and(|value| value.as_bytes() == b"1")
 }
--- a/src/bin/load-balancer-proxy/upstream/socket.rs
+++ b/src/bin/load-balancer-proxy/upstream/socket.rs
@@ -1,5 +1,5 @@
-//! The socket of a connection to a backend. It records how much of the present request was written, and
-//! accepts as the end of a response only a close by the backend.
+//! The socket of a connection to a backend. It records how much of the current request was written, and
+//! reports an end of stream only if the backend closed the connection.
 
 use hyper::rt::{Read, ReadBufCursor, Write};
 use hyper_util::rt::TokioIo;
@@ -12,10 +12,10 @@
 use tokio::io::{AsyncRead, ReadBuf};
 use tokio::net::TcpStream;
 
-/// The most that is read at once.
+/// Maximum number of bytes per read.
 const READ_CHUNK_BYTES: usize = 8 << 10;
 
-/// How much of the present request was written to the socket. A request that was not fully written has not
+/// How much of the current request was written to the socket. A request that was not fully written has not
 /// been executed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) enum WriteProgress {
@@ -24,7 +24,7 @@
     NotStarted,
     /// Some bytes.
     Partial,
-    /// The last byte too: hyper flushes the socket only after its buffer is empty.
+    /// All bytes: hyper flushes the socket only once its write buffer is empty.
     Complete,
 }
 
@@ -44,17 +44,17 @@
     }
 }
 
-/// A socket that records the progress of a request.
+/// A socket that records the write progress of the current request.
 pub(super) struct UpstreamSocket {
     io: TokioIo<TcpStream>,
     progress: Rc<Cell<WriteProgress>>,
-    /// Some call on it has failed: the system reports an error only once, and an end of stream after it is
-    /// not the backend's.
+    /// Whether a call on the socket has failed. The operating system reports a socket error only once, so an
+    /// end of stream after it does not mean that the backend closed the connection.
     has_failed: bool,
 }
 
 impl UpstreamSocket {
-    /// The progress is shared with the connection, which resets it for each request.
+    /// Wraps a connected socket. `progress` is shared with the connection, which resets it for each request.
     pub fn new(stream: TcpStream, progress: Rc<Cell<WriteProgress>>) -> UpstreamSocket {
         UpstreamSocket { io: TokioIo::new(stream), progress, has_failed: false }
     }
@@ -71,7 +71,8 @@
         self.record_failure(written)
     }
 
-    /// At the end of the stream: fails unless the backend has closed the connection, rather than lost it.
+    /// Called at the end of the stream. Fails unless the stream ended because the backend closed the
+    /// connection.
     fn check_end_of_stream(&self) -> io::Result<()> {
         match self.io.inner().take_error()? {
             None if !self.has_failed => Ok(()),
--- a/src/net/connect.rs
+++ b/src/net/connect.rs
@@ -1,7 +1,7 @@
-//! Opens connections to backends and to discovery.
+//! Opens TCP connections to backends and to discovery.
 
 use super::backoff::Backoff;
-use super::resource_exhaustion::is_local;
+use super::resource_exhaustion::is_local_failure;
 use std::cell::Cell;
 use std::io;
 use std::net::SocketAddr;
@@ -9,34 +9,36 @@
 use thiserror::Error;
 use tokio::net::TcpStream;
 
-/// Why no connection was established.
+/// Error when establishing a connection.
 #[derive(Debug, Error)]
 pub enum ConnectError {
-    /// This machine lacked the resources for one all the time: nothing is known of the other side.
-    #[error("this machine is short of sockets, addresses or routes")]
+    /// No attempt was in progress at the timeout because local resources were exhausted. This says nothing
+    /// about the remote side.
+    #[error("no local socket, address or route available")]
     ResourcesExhausted,
-    /// The connection was refused or failed on its way.
+    /// The connection was refused, or failed in the network.
     #[error(transparent)]
     Failed(#[from] io::Error),
-    /// The other side did not answer in time.
-    #[error("no connection in time")]
+    /// The remote side did not accept the connection within the timeout.
+    #[error("connect timed out")]
     TimedOut,
 }
 
 /// An established connection.
 pub struct Connected<Slot> {
-    /// The connection.
+    /// The connected socket, with `TCP_NODELAY` set where possible.
     pub stream: TcpStream,
-    /// What was reserved for it.
+    /// The slot that was reserved for the connection.
     pub slot: Slot,
 }
 
-/// Connects within `timeout`, once `reserve` yields a slot for the connection. Attempts that fail for want of
-/// this machine's resources are repeated until then.
+/// Connects to `address` within `timeout`. Each attempt first calls `reserve` for a slot, such as a share of
+/// a socket limit. While `reserve` returns `None`, or attempts fail because of exhausted local resources,
+/// `connect` retries with a backoff.
 ///
 /// # Errors
 ///
-/// [`ConnectError`] says whether the other side or this machine is the cause.
+/// Returns a [`ConnectError`], which tells local from remote causes.
 pub async fn connect<Slot>(
     address: SocketAddr, timeout: Duration, reserve: impl Fn() -> Option<Slot>,
 ) -> Result<Connected<Slot>, ConnectError> {
@@ -51,7 +53,8 @@
     Ok(connected)
 }
 
-/// Connects however long it takes; `is_in_progress` is set while the other side is waited for.
+/// Retries until connected, without a timeout. `is_in_progress` is set while a connect call waits for the
+/// remote side.
 async fn attempt_until_connected<Slot>(
     address: SocketAddr, reserve: impl Fn() -> Option<Slot>, is_in_progress: &Cell<bool>,
 ) -> Result<Connected<Slot>, io::Error> {
@@ -63,7 +66,7 @@
             is_in_progress.set(false);
             match result {
                 Ok(stream) => return Ok(Connected { stream, slot }),
-                Err(error) if is_local(&error) => tracing::debug!(%address, %error, "connect failed"),
+                Err(error) if is_local_failure(&error) => tracing::debug!(%address, %error, "connect failed"),
                 Err(error) => return Err(error),
             }
         }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,4 +1,5 @@
-//! Network code that the proxy and discovery have in common: connecting, backoff, and what errors say.
+//! Network code shared by the proxy and the discovery client: connecting, backoff, and classification of I/O
+//! errors.
 
 pub mod backoff;
 pub mod connect;
--- a/src/net/resource_exhaustion.rs
+++ b/src/net/resource_exhaustion.rs
@@ -1,35 +1,37 @@
-//! Tells errors that say that this machine's resources are exhausted from those that concern one connection
-//! or the other side, and repeats operations that fail with the former.
+//! Detects I/O errors that are caused by exhausted local resources rather than by one connection or the
+//! remote side, and retries operations that fail with them.
 
 use std::io;
 use std::time::{Duration, Instant};
 
-/// Exhausted resources are waited for this long.
+/// How long operations are retried.
 const RETRY_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time between two attempts of that.
+/// Wait between two attempts.
 const RETRY_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Descriptors, memory or buffers are short; they may be there again in a moment.
-const EXHAUSTED: [i32; 7] =
+/// Transient errors: no file descriptor, memory or buffer was available, or the call was interrupted.
+const EXHAUSTION_ERRORS: [i32; 7] =
     [libc::EMFILE, libc::ENFILE, libc::ENOBUFS, libc::ENOMEM, libc::ENOSPC, libc::EAGAIN, libc::EINTR];
-/// This machine has no address or route for a connection.
-const UNROUTABLE: [i32; 4] = [libc::EADDRINUSE, libc::EADDRNOTAVAIL, libc::ENETDOWN, libc::ENETUNREACH];
+/// Errors of a connect for which this machine has no local address, port or route.
+const LOCAL_ADDRESS_ERRORS: [i32; 4] =
+    [libc::EADDRINUSE, libc::EADDRNOTAVAIL, libc::ENETDOWN, libc::ENETUNREACH];
 
-/// Whether this machine's resources were exhausted.
+/// Returns whether an error means that local resources were exhausted.
 pub fn is_exhausted(error: &io::Error) -> bool {
-    is_one_of(error, &EXHAUSTED)
+    is_one_of(error, &EXHAUSTION_ERRORS)
 }
 
-/// Whether a connect failed because of this machine: it says nothing of the other side.
-pub fn is_local(error: &io::Error) -> bool {
-    is_exhausted(error) || is_one_of(error, &UNROUTABLE)
+/// Returns whether a connect failed for a local reason, which says nothing about the remote side.
+pub fn is_local_failure(error: &io::Error) -> bool {
+    is_exhausted(error) || is_one_of(error, &LOCAL_ADDRESS_ERRORS)
 }
 
-/// Repeats an operation for a while as long as resources are exhausted. Blocks its thread.
+/// Retries an operation for up to two seconds while local resources are exhausted. Blocks the thread between
+/// attempts.
 ///
 /// # Errors
 ///
-/// The last error of the operation.
+/// Returns the error of the last attempt.
 pub fn retry_blocking<T>(operation: impl Fn() -> io::Result<T>) -> io::Result<T> {
     let end = Instant::now() + RETRY_TIMEOUT;
     loop {
@@ -42,11 +44,11 @@
     }
 }
 
-/// Repeats an operation like [`retry_blocking`]; other tasks run between its attempts.
+/// Like [`retry_blocking`], but yields to the runtime between attempts.
 ///
 /// # Errors
 ///
-/// The last error of the operation.
+/// Returns the error of the last attempt.
 pub async fn retry<T>(operation: impl Fn() -> io::Result<T>) -> io::Result<T> {
     let end = tokio::time::Instant::now() + RETRY_TIMEOUT;
     loop {
