--- a/tests/proxy/backend_answers.rs
+++ b/tests/proxy/backend_answers.rs
@@ -1,4 +1,4 @@
-//! Answers of backends that are malformed, late or cut off, and when the request is retried.
+//! Failed, malformed, truncated and late responses of backends, and whether the request is retried.
 
 use crate::support::{
     config, endpoint, ok_response, proxy_for, read_message, refusing_address, request, send_request,
@@ -10,17 +10,17 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// How a request ended, and how often it was sent.
+/// The status that the client received, and the number of attempts that reached a backend.
 #[derive(Debug, PartialEq)]
-struct Outcome {
+struct RequestOutcome {
     status: u16,
     attempts: usize,
 }
 
-/// After the warm-up the first request of the class is answered with `first`, every other is served. The
-/// warm-up does not count: on a loaded machine one of its requests may be sent twice.
-fn outcome_of(first: fn() -> Reply, class: &'static str) -> Outcome {
-    assert_ne!(class, "read", "the class of the warm-up");
+/// Sends one request of a class, whose first attempt receives `first` and whose others succeed. The warm-up
+/// uses another class and is not counted, because its requests may be hedged on a loaded machine.
+fn outcome_after_first_response(first: fn() -> Reply, class: &'static str) -> RequestOutcome {
+    assert_ne!(class, "read", "must differ from the class of the warm-up requests");
     let received = Arc::new(AtomicUsize::new(0));
     let is_of_class = move |message: &Message| message.start_line.contains(&format!("/{class}/"));
     let start = || {
@@ -37,22 +37,22 @@
     warm_up(&proxy);
     let status = send_request(&proxy, &request(class, 7000)).status();
     let requests = [backend_a, backend_b].iter().flat_map(Backend::requests).collect::<Vec<_>>();
-    Outcome { status, attempts: requests.into_iter().filter(is_of_class).count() }
+    RequestOutcome { status, attempts: requests.into_iter().filter(is_of_class).count() }
 }
 
-/// Guards against a rejection without effect that passes for a failure.
+/// Guards against treating a response that marks the request as unprocessed as a failure.
 #[test]
-fn what_was_never_executed_is_retried() {
+fn an_unprocessed_request_is_retried() {
     let unavailable =
         || Reply::Send("HTTP/1.1 503 x\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n".into());
-    assert_eq!(outcome_of(unavailable, "pay"), Outcome { status: 200, attempts: 2 });
+    assert_eq!(outcome_after_first_response(unavailable, "pay"), RequestOutcome { status: 200, attempts: 2 });
     let timed_out = || Reply::Send("HTTP/1.1 504 x\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n".into());
-    assert_eq!(outcome_of(timed_out, "pay"), Outcome { status: 200, attempts: 2 });
+    assert_eq!(outcome_after_first_response(timed_out, "pay"), RequestOutcome { status: 200, attempts: 2 });
 }
 
-/// Guards against a broken answer that passes for a rejection: a request that may have run would run again.
+/// Guards against executing a request twice because a broken response is treated as a rejection.
 #[test]
-fn what_may_have_been_executed_is_not_retried() {
+fn a_request_that_may_have_been_executed_is_not_retried() {
     let cases: [fn() -> Reply; 6] = [
         || Reply::Send("HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n".into()),
         || Reply::Send("HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n".into()),
@@ -62,13 +62,17 @@
         || Reply::SendAndClose("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nshort\r\n".into()),
     ];
     for (number, first) in cases.into_iter().enumerate() {
-        assert_eq!(outcome_of(first, "pay"), Outcome { status: 502, attempts: 1 }, "case {number}");
+        assert_eq!(
+            outcome_after_first_response(first, "pay"),
+            RequestOutcome { status: 502, attempts: 1 },
+            "case {number}"
+        );
     }
 }
 
-/// Guards against the ejection of a backend for one malformed answer, though it serves all other requests.
+/// Guards against ejecting a backend for one malformed response although it serves all other requests.
 #[test]
-fn a_malformed_answer_does_not_eject_its_backend() {
+fn one_malformed_response_does_not_eject_its_backend() {
     let malformed = [
         "HTTP/1.1 2x0 OK\r\nContent-Length: 1\r\n\r\nx".to_string(),
         "HTTP/1.1 200 OK\r\nno colon here\r\nContent-Length: 1\r\n\r\nx".into(),
@@ -87,7 +91,9 @@
         let other = Backend::start(|_| ok_response("b"));
         let (proxy, _discovery) = proxy_for(&[("a", &malformed_once), ("b", &other)]);
         warm_up(&proxy);
-        wait_until("a malformed answer", || send_request(&proxy, &request("pay", 7000)).status() == 502);
+        wait_until("502 for a malformed response", || {
+            send_request(&proxy, &request("pay", 7000)).status() == 502
+        });
         let before = malformed_once.requests().len();
         for _ in 0..20 {
             assert_eq!(send_request(&proxy, &request("read", 7000)).status(), 200);
@@ -97,15 +103,16 @@
     }
 }
 
-/// Guards against a refused connection that passes for a request that may have run.
+/// Guards against treating a request as possibly executed although its connection was refused.
 #[test]
-fn a_refused_connection_proves_that_nothing_was_executed() {
+fn a_refused_connection_counts_as_not_executed() {
     let backend = Backend::start(|_| ok_response("served"));
     let discovery = Discovery::start();
     let endpoints =
         [endpoint("a", refusing_address(), "ready", 0), endpoint("b", backend.address, "ready", 0)];
     let proxy = ProxyProcess::start(&config(discovery.address, &endpoints));
-    // The first that meets it may find no retry budget yet; after that the balancer ejects it.
+    // The first request to the refusing address may be rejected, since the retry budget can still be empty.
+    // The balancer then ejects that backend.
     for _ in 0..10 {
         assert_ne!(send_request(&proxy, &request("pay", 7000)).status(), 502);
     }
@@ -114,45 +121,46 @@
     }
 }
 
-/// A backend whose second answer to a request is taken for that to the next one on its connection, where that
-/// comes within 4 ms; counts how often it was.
-fn start_answering_twice() -> (SocketAddr, Arc<AtomicUsize>) {
+/// Starts a backend that simulates a second response to each request: a request that arrives less than 4 ms
+/// after the previous response on its connection receives a late response to the previous request. Returns
+/// the address and the number of late responses.
+fn start_double_responding_backend() -> (SocketAddr, Arc<AtomicUsize>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
-    let second_answers = Arc::new(AtomicUsize::new(0));
-    let counted = second_answers.clone();
+    let late_responses = Arc::new(AtomicUsize::new(0));
+    let shared_late_responses = late_responses.clone();
     std::thread::spawn(move || {
         for stream in listener.incoming().map_while(Result::ok) {
-            let counted = counted.clone();
-            std::thread::spawn(move || answer_twice(stream, &counted));
+            let shared_late_responses = shared_late_responses.clone();
+            std::thread::spawn(move || respond_twice(stream, &shared_late_responses));
         }
     });
-    (address, second_answers)
+    (address, late_responses)
 }
 
-fn answer_twice(mut stream: TcpStream, second_answers: &AtomicUsize) {
+fn respond_twice(mut stream: TcpStream, late_responses: &AtomicUsize) {
     let response = |body: &str| format!("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n{body}");
     let mut reader = BufReader::new(stream.try_clone().unwrap());
-    let mut answered: Option<Instant> = None;
+    let mut last_response_at: Option<Instant> = None;
     while read_message(&mut reader).is_some() {
-        // From here on a second answer to the last request would arrive as one to this.
-        let is_second = answered.is_some_and(|at| at.elapsed() < Duration::from_millis(4));
-        if is_second {
-            second_answers.fetch_add(1, Ordering::SeqCst);
+        // A second response to the previous request would now be taken for the response to this one.
+        let is_late = last_response_at.is_some_and(|at| at.elapsed() < Duration::from_millis(4));
+        if is_late {
+            late_responses.fetch_add(1, Ordering::SeqCst);
         }
-        let _ = stream.write_all(response(if is_second { "late" } else { "good" }).as_bytes());
-        answered = Some(Instant::now());
+        let _ = stream.write_all(response(if is_late { "late" } else { "good" }).as_bytes());
+        last_response_at = Some(Instant::now());
     }
 }
 
-/// Guards against the reuse of a connection on which a second answer to its last request may still come.
+/// Guards against reusing a connection on which a second response to the previous request may still arrive.
 #[test]
-fn a_late_second_answer_is_not_served_to_the_next_request() {
-    let (address, second_answers) = start_answering_twice();
+fn a_late_second_response_is_not_served_to_the_next_request() {
+    let (address, late_responses) = start_double_responding_backend();
     let discovery = Discovery::start();
     let proxy = ProxyProcess::start(&config(discovery.address, &[endpoint("a", address, "ready", 0)]));
     for _ in 0..30 {
         assert_eq!(send_request(&proxy, &request("pay", 7000)).body, b"good");
     }
-    assert_eq!(second_answers.load(Ordering::SeqCst), 0);
+    assert_eq!(late_responses.load(Ordering::SeqCst), 0);
 }
--- a/tests/proxy/connections.rs
+++ b/tests/proxy/connections.rs
@@ -1,4 +1,4 @@
-//! Connections to backends: when one is kept, closed and no longer used.
+//! Connections to backends: reuse, closing, draining, and restarts of backends.
 
 use crate::support::{
     config_with_long_connect_timeout, endpoint, ok_response, proxy_for, request, send_request, wait_until,
@@ -7,9 +7,9 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-/// Guards against a request that fails because its backend had closed the idle connection.
+/// Guards against a request that fails because its backend closed the idle connection before.
 #[test]
-fn a_stale_pooled_connection_costs_no_attempt() {
+fn a_stale_pooled_connection_does_not_use_up_an_attempt() {
     let is_first = AtomicBool::new(true);
     let backend = Backend::start(move |_| match is_first.swap(false, Ordering::SeqCst) {
         true => Reply::SendAndClose("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx".into()),
@@ -17,12 +17,12 @@
     });
     let (proxy, _discovery) = proxy_for(&[("a", &backend)]);
     assert_eq!(send_request(&proxy, &request("pay", 7000)).status(), 200);
-    wait_until("the connection closed", || backend.closed_connections() == 1);
+    wait_until("pooled connection closed", || backend.closed_connections() == 1);
     assert_eq!(send_request(&proxy, &request("pay", 7000)).status(), 200);
     assert_eq!((backend.requests().len(), backend.opened_connections()), (2, 2));
 }
 
-/// Guards against connections that carry two requests at once, or stay open long after their last request.
+/// Guards against concurrent requests on one connection, and against idle connections that are not closed.
 #[test]
 fn connections_are_reused_and_carry_one_request_at_a_time() {
     let backend = Backend::start(|message| {
@@ -44,13 +44,13 @@
         assert_eq!(send_request(&proxy, &request("read", 7000)).status(), 200);
     }
     assert_eq!((backend.opened_connections(), backend.closed_connections()), (2, 0));
-    // Idle connections of many proxies would fill the connection tables of backends that they no longer use.
-    wait_until("both are closed once they have been idle", || backend.closed_connections() == 2);
+    // Otherwise the idle connections of many proxies would fill the connection tables of unused backends.
+    wait_until("both idle connections closed", || backend.closed_connections() == 2);
 }
 
-/// Guards against a request that is written to a backend which began to drain while the connection came up.
+/// Guards against writing a request to a backend that started to drain during the connect.
 #[test]
-fn a_drain_is_seen_after_the_connect() {
+fn a_backend_that_drains_during_the_connect_receives_no_request() {
     let (slow_backend, discovery) = (SlowAcceptBackend::start(), Discovery::start());
     let proxy = ProxyProcess::start(&config_with_long_connect_timeout(
         &discovery,
@@ -58,24 +58,24 @@
     ));
     let mut client = Client::open(proxy.address);
     client.send(&request("pay", 30_000));
-    wait_until("the attempt", || proxy.log().contains("attempt dispatched attempt=0 "));
+    wait_until("first attempt dispatched", || proxy.log().contains("attempt dispatched attempt=0 "));
     discovery.publish_delta(&[endpoint("a", slow_backend.address, "draining", 0)]);
-    let bytes = slow_backend.accept();
+    let received_bytes = slow_backend.accept();
     assert_eq!(client.read_response().map(|response| response.status()), Some(503));
-    assert_eq!(bytes(), 0);
+    assert_eq!(received_bytes(), 0);
 }
 
-/// Guards against the use of a backend's old connections and old address after its restart.
+/// Guards against using a backend's previous connections or address after its restart.
 #[test]
 fn a_restarted_backend_gets_new_connections() {
     let (old, new) = (Backend::start(|_| ok_response("old")), Backend::start(|_| ok_response("new")));
     let (proxy, discovery) = proxy_for(&[("a", &old)]);
     assert_eq!(send_request(&proxy, &request("read", 7000)).body, b"old");
     discovery.publish_delta(&[endpoint("a", old.address, "ready", 1_700_000_000_000)]);
-    wait_until("the old connection closed", || old.closed_connections() == 1);
+    wait_until("connection to the previous process closed", || old.closed_connections() == 1);
     assert_eq!(send_request(&proxy, &request("read", 7000)).body, b"old");
     assert_eq!(old.opened_connections(), 2);
     discovery.publish_delta(&[endpoint("a", new.address, "ready", 1_700_000_000_000)]);
-    wait_until("its connection closed", || old.closed_connections() == 2);
+    wait_until("connection to the previous address closed", || old.closed_connections() == 2);
     assert_eq!(send_request(&proxy, &request("read", 7000)).body, b"new");
 }
--- a/tests/proxy/deadlines.rs
+++ b/tests/proxy/deadlines.rs
@@ -1,4 +1,4 @@
-//! Answers at the end of the time that a request has.
+//! Final answers at or near the deadline of a request.
 
 use crate::support::{
     config, config_with_long_connect_timeout, endpoint, ok_response, proxy_for, request, send_request,
@@ -6,37 +6,37 @@
 };
 use std::time::Duration;
 
-/// Guards against deadlines that the balancer misses, also where less time is left than a tick.
+/// Guards against deadlines that the balancer misses, in particular with less than a tick left.
 #[test]
-fn a_deadline_brings_one_answer_from_the_balancer() {
+fn the_balancer_answers_every_request_at_its_deadline() {
     let backend = Backend::start(|_| Reply::NoResponse);
     let (proxy, _discovery) = proxy_for(&[("a", &backend)]);
     assert_eq!(send_request(&proxy, &request("pay", 500)).status(), 502);
-    wait_until("the attempt's connection closed", || backend.closed_connections() == 1);
+    wait_until("connection of the timed-out attempt closed", || backend.closed_connections() == 1);
     for time_left_ms in (0..16).cycle().take(160) {
         let status = send_request(&proxy, &request("read", time_left_ms)).status();
-        assert!(matches!(status, 502 | 503), "{status}");
+        assert!(matches!(status, 502 | 503), "time left {time_left_ms} ms: status {status}");
     }
     assert!(!proxy.log().contains("request unanswered at its deadline"), "{}", proxy.log());
 }
 
-/// Guards against a rejection that comes late or without Retry-After.
+/// Guards against a rejection that is sent after the deadline or lacks Retry-After.
 #[test]
-fn a_rejection_is_given_at_once_with_retry_after() {
+fn a_request_without_ready_backend_is_rejected_with_retry_after() {
     let (discovery, backend) = (Discovery::start(), Backend::start(|_| ok_response("x")));
     let proxy =
         ProxyProcess::spawn(&config(discovery.address, &[endpoint("a", backend.address, "draining", 0)]));
-    wait_until("an answer", || proxy.readiness_status() == 503);
-    // No backend takes requests: it stays queued for as long as an answer could still be in time.
+    wait_until("readiness check to return 503", || proxy.readiness_status() == 503);
+    // No backend is ready, so the request stays queued until it can no longer be served in time.
     let answer = send_request(&proxy, &request("read", 100));
     assert_eq!(answer.status(), 503);
     assert!(answer.header("retry-after").unwrap().parse::<u32>().unwrap() > 0);
     assert!(backend.requests().is_empty());
 }
 
-/// Guards against a retry of a keyed request whose connection comes up after the idempotency window.
+/// Guards against writing a retry whose connection is established after the idempotency window.
 #[test]
-fn a_retry_that_connects_past_its_idempotency_window_is_not_written() {
+fn a_retry_connected_after_its_idempotency_window_is_not_written() {
     let (slow_backend, discovery) = (SlowAcceptBackend::start(), Discovery::start());
     let respond = |message: &Message| match message.start_line.contains("/vote/") {
         true => Reply::Send("HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n".into()),
@@ -49,9 +49,9 @@
     discovery.publish_delta(&[endpoint("b", slow_backend.address, "ready", 0)]);
     let mut client = Client::open(proxy.address);
     client.send(&request("vote", 30_000));
-    wait_until("the retry", || proxy.log().contains(&format!("address={}", slow_backend.address)));
+    wait_until("retry dispatched", || proxy.log().contains(&format!("address={}", slow_backend.address)));
     std::thread::sleep(Duration::from_millis(1300)); // longer than the idempotency window
-    let bytes = slow_backend.accept();
+    let received_bytes = slow_backend.accept();
     assert_eq!(client.read_response().map(|response| response.status()), Some(502));
-    assert_eq!(bytes(), 0);
+    assert_eq!(received_bytes(), 0);
 }
--- a/tests/proxy/resource_exhaustion.rs
+++ b/tests/proxy/resource_exhaustion.rs
@@ -1,4 +1,4 @@
-//! System calls that fail for a moment, because resources are exhausted or over one connection.
+//! System calls that fail transiently because of exhausted resources or an error of one connection.
 
 use crate::support::{
     config, endpoint, ok_response, request, send_request, wait_until, Backend, Client, Discovery, Faults,
@@ -7,19 +7,21 @@
 use serde_json::json;
 use std::time::{Duration, Instant};
 
-/// Clients that connect one after another while the proxy shuts down.
+/// Number of clients that connect one after another while the proxy shuts down.
 const CLIENTS: u32 = 160;
-/// When they do, after SIGTERM.
+/// Time from SIGTERM to the first client's connect.
 const FIRST_CONNECT: Duration = Duration::from_millis(200);
+/// Time from SIGTERM to the last client's connect.
 const LAST_CONNECT: Duration = Duration::from_millis(400);
 
-/// How many of the clients that connect while the proxy shuts down have no answer.
+/// Shuts the proxy down while `percent` of its accept calls fail. Returns how many of the clients that
+/// connect meanwhile receive no response.
 fn unanswered_during_shutdown(percent: i64) -> usize {
     let (backend, discovery, faults) =
         (Backend::start(|_| ok_response("x")), Discovery::start(), Faults::none());
     let config = config(discovery.address, &[endpoint("a", backend.address, "ready", 0)]);
     let mut proxy = ProxyProcess::spawn_with_faults(&faults, &config);
-    wait_until("ready", || proxy.readiness_status() == 200);
+    wait_until("proxy ready", || proxy.readiness_status() == 200);
     faults.fail_accepts(percent);
     proxy.terminate();
     let began = Instant::now();
@@ -37,17 +39,18 @@
     unanswered
 }
 
-/// Guards against a failed accept that delays everyone behind it, or ends the last look at the queue.
+/// Guards against a failed accept that delays the connections queued behind it, or that ends the final drain
+/// of the listen queue early.
 #[test]
-fn clients_that_connect_during_the_shutdown_are_answered_though_accepts_fail() {
+fn clients_connecting_during_shutdown_are_answered_despite_failing_accepts() {
     for percent in [20, 50, 80] {
-        assert_eq!(unanswered_during_shutdown(percent), 0, "{percent} in a hundred accepts fail");
+        assert_eq!(unanswered_during_shutdown(percent), 0, "{percent} % of the accepts fail");
     }
 }
 
-/// Guards against exhaustion on this machine that counts against the backend or uses up an attempt.
+/// Guards against local resource exhaustion that counts against the backend or uses up an attempt.
 #[test]
-fn connects_that_fail_for_lack_of_resources_are_repeated() {
+fn connects_that_fail_for_lack_of_resources_are_retried() {
     let closing =
         || Backend::start(|_| Reply::SendAndClose("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx".into()));
     let (backend, discovery, faults) = (closing(), Discovery::start(), Faults::none());
@@ -55,7 +58,7 @@
         &faults,
         &config(discovery.address, &[endpoint("a", backend.address, "ready", 0)]),
     );
-    wait_until("ready", || proxy.readiness_status() == 200);
+    wait_until("proxy ready", || proxy.readiness_status() == 200);
     faults.fail_connects(50);
     for number in 0..60 {
         assert_eq!(send_request(&proxy, &request("pay", 7000)).status(), 200, "request {number}");
@@ -65,9 +68,10 @@
     assert!(!proxy.log().contains("attempt=1 "), "{}", proxy.log());
 }
 
-/// Guards against a call of discovery that finds no socket and waits for the backoff of the fleet.
+/// Guards against a discovery call that lacks a local socket and waits for the backoff meant for a failing
+/// discovery.
 #[test]
-fn a_discovery_call_that_fails_for_lack_of_resources_is_repeated_at_once() {
+fn a_discovery_call_that_lacks_resources_is_retried_immediately() {
     let (backend, discovery, faults) =
         (Backend::start(|_| ok_response("x")), Discovery::start(), Faults::none());
     let mut config = config(discovery.address, &[endpoint("a", backend.address, "draining", 0)]);
@@ -79,21 +83,21 @@
     let closing = |text: &str| {
         format!("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: {}\r\n\r\n{text}", text.len())
     };
-    // Each response ends its connection, so that each call needs another.
+    // Each response closes its connection, so that every call needs a new one.
     for _ in 0..10 {
         discovery.respond(Reply::SendAndClose(closing(&list.to_string())));
     }
     assert!(!proxy.log().contains("subscription lost"), "{}", proxy.log());
 }
 
-/// Guards against a reload that is lost because a file or a thread could not be opened for a moment.
+/// Guards against losing a reload because a file could not be opened or a thread not be started for a moment.
 #[test]
-fn a_reload_that_lacks_resources_for_a_moment_succeeds() {
+fn a_reload_that_briefly_lacks_resources_succeeds() {
     let (backend, faults) = (Backend::start(|_| ok_response("x")), Faults::none());
     let mut discovery = Discovery::start();
     let mut config = config(discovery.address, &[endpoint("a", backend.address, "ready", 0)]);
     let proxy = ProxyProcess::spawn_with_faults(&faults, &config);
-    wait_until("ready", || proxy.readiness_status() == 200);
+    wait_until("proxy ready", || proxy.readiness_status() == 200);
     faults.fail_reloads(50);
     for number in 0..10 {
         discovery = Discovery::start();
--- a/tests/proxy/soak.rs
+++ b/tests/proxy/soak.rs
@@ -1,5 +1,6 @@
-//! A proxy among all faults at once, judged request by request. What goes wrong and when is drawn from a
-//! seed. `SOAK_SEEDS=FROM..TO` runs others than the few that every change has to pass.
+//! Soak test: runs proxies under concurrent faults and checks every request against a set of rules. Faults
+//! and their times are drawn from a seed. `SOAK_SEEDS=FROM..TO` replaces the default seeds; `TO` is
+//! exclusive.
 
 mod backends;
 mod clients;
@@ -23,16 +24,16 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Seeds that every change has to pass.
+/// Default seeds, which every change has to pass.
 const SEEDS: Range<u64> = 1..5;
-/// Runs side by side.
+/// Number of runs that execute concurrently.
 const CONCURRENT_RUNS: usize = 4;
-/// Requests come and faults happen for so long, until the proxy is shut down.
+/// Duration of a run until the proxy is shut down.
 const FAULTS_DURATION: Duration = Duration::from_secs(12);
 const CLIENTS: u64 = 10;
 const BACKENDS: usize = 4;
 
-/// The configuration of a run, and the longest deadline in it.
+/// The proxy configuration of a run, and the longest deadline in it.
 struct RunConfig {
     config: Value,
     longest_deadline_ms: u64,
@@ -56,8 +57,8 @@
     RunConfig { config, longest_deadline_ms }
 }
 
-/// Sends requests from all clients while faults happen, and shuts the proxy down.
-fn send_requests_among_faults(run: &Run, random: &mut Pcg32, seed: u64) {
+/// Sends requests from all clients while faults are injected, then shuts the proxy down.
+fn send_requests_under_faults(run: &Run, random: &mut Pcg32, seed: u64) {
     let (stop, next_request_id) = (AtomicBool::new(false), AtomicU64::new(seed << 32));
     let (stop, next_request_id) = (&stop, &next_request_id);
     std::thread::scope(|scope| {
@@ -83,7 +84,7 @@
     });
 }
 
-/// Starts the proxy of a seed, and what is around it.
+/// Starts the proxy, backends and discovery of a run.
 fn start_run(random: &mut Pcg32, seed: u64) -> Run {
     let idempotency_window = Duration::from_millis(200 + below(random, 1000));
     let record = Arc::new(RunRecord { idempotency_window, ..RunRecord::default() });
@@ -94,18 +95,18 @@
         draw_config(random, &discovery, &endpoints, idempotency_window);
     faults.step_clock([0, 10, 3600, -3600][below(random, 4) as usize]);
     let proxy = ProxyProcess::spawn_with_faults(&faults, &config);
-    wait_until("ready", || proxy.readiness_status() == 200);
+    wait_until("proxy ready", || proxy.readiness_status() == 200);
     Run { proxy, config, faults, discovery, backends, record, longest_deadline_ms }
 }
 
-/// Runs a seed and returns all that was broken.
+/// Executes the run of a seed and returns all violations.
 fn run_seed(seed: u64) -> Vec<String> {
     let mut random = Pcg32::seed_from_u64(seed);
     let mut run = start_run(&mut random, seed);
-    send_requests_among_faults(&run, &mut random, seed);
+    send_requests_under_faults(&run, &mut random, seed);
     let mut violations = Vec::new();
     if run.proxy.wait_for_exit().code().is_some_and(|code| code != 0) {
-        violations.push("the proxy ended badly".into());
+        violations.push("the proxy exited with a nonzero code".into());
     }
     let log = run.proxy.log();
     let is_error = |line: &&str| line.contains("ERROR") || line.contains("panicked");
@@ -115,7 +116,7 @@
     violations
 }
 
-/// The seeds that the environment names, or else those of every change.
+/// Returns the seeds from the environment, or the default seeds.
 fn seeds() -> Range<u64> {
     let text = std::env::var("SOAK_SEEDS").ok();
     let range = text.and_then(|text| {
@@ -125,9 +126,9 @@
     range.unwrap_or(SEEDS)
 }
 
-/// Guards against rules that hold for each fault alone and break where several meet.
+/// Guards against rules that hold under each fault alone but are violated under several at once.
 #[test]
-fn no_rule_is_broken_among_all_faults_at_once() {
+fn no_rule_is_violated_under_concurrent_faults() {
     let seeds: Vec<u64> = seeds().collect();
     let mut violations = Vec::new();
     for concurrent in seeds.chunks(CONCURRENT_RUNS) {
@@ -137,7 +138,7 @@
         };
         let runs: Vec<_> = concurrent.iter().map(spawn).collect();
         for (seed, run) in runs {
-            let found = run.join().unwrap_or_else(|_| vec!["the run itself panicked".into()]);
+            let found = run.join().unwrap_or_else(|_| vec!["the run panicked".into()]);
             violations.extend(found.into_iter().map(|violation| format!("seed {seed}: {violation}")));
         }
     }
--- a/tests/proxy/soak/backends.rs
+++ b/tests/proxy/soak/backends.rs
@@ -1,4 +1,4 @@
-//! Backends that mostly serve.
+//! Backends of the soak test, which fail a fraction of the requests.
 
 use super::random::below;
 use super::record::{AttemptRecord, RunRecord};
@@ -13,7 +13,8 @@
     message.header("x-correlation-id").and_then(|id| u64::from_str_radix(id, 16).ok()).unwrap_or(0)
 }
 
-/// A backend that mostly serves, and answers with the request's own id.
+/// Starts a backend that serves most requests, with the request's correlation id as the body, and fails the
+/// others in various ways.
 pub fn start_backend(number: usize, seed: u64, record: &Arc<RunRecord>) -> Backend {
     let (record, random) = (record.clone(), Mutex::new(Pcg32::seed_from_u64(seed * 100 + number as u64)));
     Backend::start(move |message| {
@@ -23,7 +24,8 @@
         };
         let at = Instant::now();
         let time_left = Duration::from_millis(message.header("x-time-left-ms").unwrap().parse().unwrap());
-        let attempt = AttemptRecord { at, time_left, backend: number, may_have_run: behaviour != 0 };
+        let attempt =
+            AttemptRecord { at, time_left, backend: number, may_have_been_executed: behaviour != 0 };
         record.attempts.lock().unwrap().entry(request_id(message)).or_default().push(attempt);
         std::thread::sleep(Duration::from_millis(delay_ms));
         let body = format!("{:x}", request_id(message));
--- a/tests/proxy/soak/clients.rs
+++ b/tests/proxy/soak/clients.rs
@@ -1,15 +1,15 @@
-//! Clients that mostly wait for their answers.
+//! Clients of the soak test, some of which disconnect before the response.
 
 use super::random::{below, one_in};
 use super::record::{RequestOutcome, RequestRecord, RunRecord};
-use super::rules::{ANSWER_LATEST, TEST_THREAD_DELAY};
+use super::rules::{MAX_ANSWER_DELAY, TEST_THREAD_DELAY};
 use crate::support::{request, Client, Message};
 use rand_pcg::Pcg32;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-/// One client: a request at a time on a connection that it keeps while it can.
+/// A client that sends one request at a time over a persistent connection.
 pub struct ClientLoop<'a> {
     pub proxy_address: SocketAddr,
     pub random: Pcg32,
@@ -19,15 +19,16 @@
 }
 
 impl ClientLoop<'_> {
-    /// Sends requests until `stop` is set. Each connection is kept for as long as the proxy leaves it open.
+    /// Sends requests until `stop` is set. Reuses each connection until the proxy closes it.
     pub fn run(&mut self, stop: &AtomicBool) {
-        let mut kept: Option<Client> = None;
+        let mut reusable_client: Option<Client> = None;
         while !stop.load(Ordering::SeqCst) {
-            let Some(client) = kept.take().or_else(|| Client::try_open(self.proxy_address).ok()) else {
+            let Some(client) = reusable_client.take().or_else(|| Client::try_open(self.proxy_address).ok())
+            else {
                 std::thread::sleep(Duration::from_millis(20));
                 continue;
             };
-            kept = self.send_request(client);
+            reusable_client = self.send_request(client);
             std::thread::sleep(Duration::from_millis(below(&mut self.random, 60)));
             if one_in(&mut self.random, 40) {
                 std::thread::sleep(Duration::from_millis(1700 + below(&mut self.random, 500)));
@@ -35,14 +36,14 @@
         }
     }
 
-    /// Sends a request and records what became of it; returns the connection if it can be kept.
+    /// Sends a request and records its outcome. Returns the connection if it can be reused.
     fn send_request(&mut self, mut client: Client) -> Option<Client> {
         let class = ["read", "vote", "pay"][below(&mut self.random, 3) as usize];
         let longest_ms = self.longest_deadline_ms;
         let time_left_ms = longest_ms / 3 + below(&mut self.random, longest_ms * 2 / 3);
         let id = self.next_request_id.fetch_add(1, Ordering::SeqCst);
         let text = request(class, time_left_ms).replace("9b1f03aa5c7e2d41", &format!("{id:x}"));
-        self.send_at_once_or_in_parts(&mut client, &text);
+        self.send_whole_or_in_parts(&mut client, &text);
         let (sent, time_left) = (Instant::now(), Duration::from_millis(time_left_ms));
         let mut record = RequestRecord { class, sent, time_left, outcome: RequestOutcome::Unanswered };
         if one_in(&mut self.random, 12) {
@@ -52,29 +53,32 @@
             self.record.requests.lock().unwrap().insert(id, record);
             return None;
         }
-        client.set_read_timeout(time_left + ANSWER_LATEST + TEST_THREAD_DELAY);
+        client.set_read_timeout(time_left + MAX_ANSWER_DELAY + TEST_THREAD_DELAY);
         let response = client.read_response();
         if let Some(response) = &response {
-            assert_own_answer(id, response);
+            assert_own_response(id, response);
             record.outcome = RequestOutcome::Answered { status: response.status(), at: Instant::now() };
         }
         self.record.requests.lock().unwrap().insert(id, record);
-        let can_be_kept = response.is_some_and(|response| response.header("connection") != Some("close"));
-        can_be_kept.then_some(client)
+        let is_reusable = response.is_some_and(|response| response.header("connection") != Some("close"));
+        is_reusable.then_some(client)
     }
 
-    fn send_at_once_or_in_parts(&mut self, client: &mut Client, text: &str) {
+    fn send_whole_or_in_parts(&mut self, client: &mut Client, text: &str) {
         if !one_in(&mut self.random, 12) {
             client.send(text);
             return;
         }
-        let cut = below(&mut self.random, text.len() as u64) as usize;
-        client.send(&text[..cut]);
+        let split_at_byte = below(&mut self.random, text.len() as u64) as usize;
+        client.send(&text[..split_at_byte]);
         std::thread::sleep(Duration::from_millis(below(&mut self.random, 400)));
-        client.send(&text[cut..]);
+        client.send(&text[split_at_byte..]);
     }
 }
 
-fn assert_own_answer(id: u64, response: &Message) {
-    assert!(response.status() != 200 || response.body == format!("{id:x}").into_bytes(), "another's answer");
+fn assert_own_response(id: u64, response: &Message) {
+    assert!(
+        response.status() != 200 || response.body == format!("{id:x}").into_bytes(),
+        "request {id:x} received the response of another request"
+    );
 }
--- a/tests/proxy/soak/faults.rs
+++ b/tests/proxy/soak/faults.rs
@@ -1,4 +1,4 @@
-//! The faults that meet the proxy, and the end of its process.
+//! Fault injection and shutdown of the proxy under test.
 
 use super::random::{below, one_in};
 use super::record::{DrainInterval, RunRecord};
@@ -10,14 +10,14 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// SIGKILL comes so long after SIGTERM and the longest deadline.
-const KILL_AFTER: Duration = Duration::from_millis(700);
-/// The longest deadline counts as so long at most.
-const LONGEST_COUNTED: Duration = Duration::from_secs(3);
-/// Between the start times of two processes of one backend.
+/// SIGKILL follows SIGTERM after the longest deadline plus this margin.
+const KILL_MARGIN: Duration = Duration::from_millis(700);
+/// Upper limit on the longest deadline in the time until SIGKILL.
+const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
+/// Difference between the start times of successive processes of one backend.
 const RESTART_INTERVAL_MS: u64 = 1000;
 
-/// One proxy, what is around it, and what is recorded of it.
+/// A run: one proxy, its environment, and the record of the run.
 pub struct Run {
     pub proxy: ProxyProcess,
     pub config: Value,
@@ -28,7 +28,7 @@
     pub longest_deadline_ms: u64,
 }
 
-/// A backend as the endpoint list has it.
+/// The published endpoint list entry of a backend.
 #[derive(Clone, Copy)]
 pub struct EndpointState {
     pub is_ready: bool,
@@ -36,7 +36,7 @@
 }
 
 impl Run {
-    /// Lets a ready backend drain, or a draining one start again.
+    /// Publishes a ready backend as draining, or a draining one as ready with a new start time.
     fn toggle_backend(&self, number: usize, state: &mut EndpointState) {
         if state.is_ready {
             self.publish_endpoint(number, "draining", state.started_at_ms);
@@ -63,7 +63,7 @@
         }
     }
 
-    /// One fault that is drawn.
+    /// Injects a randomly drawn fault.
     pub fn inject_fault(
         &self, random: &mut Pcg32, states: &mut [EndpointState], idle_clients: &mut Vec<Client>,
     ) {
@@ -92,7 +92,8 @@
         }
     }
 
-    /// Sends SIGTERM, maybe with a fault, and SIGKILL as early as the platform may. Clients go on until then.
+    /// Sends SIGTERM, possibly with further faults, and SIGKILL at the earliest time at which the platform
+    /// may send it. Clients continue until then.
     pub fn shut_down(&self, random: &mut Pcg32) {
         self.record.all_backends_hang.store(one_in(random, 2), Ordering::SeqCst);
         let began = Instant::now();
@@ -104,7 +105,7 @@
             self.proxy.terminate();
             self.proxy.signal("-HUP");
         }
-        let kill = Duration::from_millis(self.longest_deadline_ms).min(LONGEST_COUNTED) + KILL_AFTER;
+        let kill = Duration::from_millis(self.longest_deadline_ms).min(MAX_COUNTED_DEADLINE) + KILL_MARGIN;
         std::thread::sleep(kill.saturating_sub(began.elapsed()));
         self.proxy.kill();
     }
--- a/tests/proxy/soak/record.rs
+++ b/tests/proxy/soak/record.rs
@@ -1,26 +1,26 @@
-//! What is recorded of a run: requests, attempts, and when backends drained.
+//! Record of a run: requests, attempts, and drain intervals of backends.
 
 use std::collections::HashMap;
 use std::sync::atomic::AtomicBool;
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-/// What became of a request for its client.
+/// The outcome of a request, as seen by its client.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RequestOutcome {
     Answered {
         status: u16,
         at: Instant,
     },
-    /// The client closed its connection.
+    /// The client closed its connection before a response.
     Disconnected {
         at: Instant,
     },
-    /// The connection ended, or nothing came.
+    /// The connection ended or the read timed out without a response.
     Unanswered,
 }
 
-/// A request as its client sent it.
+/// A request as sent by its client.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestRecord {
     pub class: &'static str,
@@ -29,31 +29,31 @@
     pub outcome: RequestOutcome,
 }
 
-/// A request as it reached a backend.
+/// An attempt as received by a backend.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptRecord {
     pub at: Instant,
     pub time_left: Duration,
     pub backend: usize,
-    /// It was not rejected unprocessed.
-    pub may_have_run: bool,
+    /// Whether the backend may have executed it: `false` only if its response marks it as unprocessed.
+    pub may_have_been_executed: bool,
 }
 
-/// When a backend was known to drain.
+/// The interval in which a backend was published as draining.
 #[derive(Clone, Copy, Debug)]
 pub struct DrainInterval {
     pub backend: usize,
     pub from: Instant,
-    /// `None` while it drains.
+    /// `None` while the backend is draining.
     pub until: Option<Instant>,
 }
 
-/// All that is recorded of a run.
+/// Everything recorded during a run.
 #[derive(Default)]
 pub struct RunRecord {
-    /// For so long after the first attempt a keyed request may be sent again.
+    /// Time after the first attempt in which a request with an idempotency key may be retried.
     pub idempotency_window: Duration,
-    /// Every backend hangs from now on.
+    /// Set to make every backend hang.
     pub all_backends_hang: AtomicBool,
     pub requests: Mutex<HashMap<u64, RequestRecord>>,
     pub attempts: Mutex<HashMap<u64, Vec<AttemptRecord>>>,
@@ -61,7 +61,7 @@
 }
 
 impl RunRecord {
-    /// How much was done in the run.
+    /// Returns the counts of requests by outcome, of attempts and of drains.
     pub fn summary(&self) -> String {
         let requests = self.requests.lock().unwrap();
         let count = |matches: &dyn Fn(RequestOutcome) -> bool| {
--- a/tests/proxy/soak/rules.rs
+++ b/tests/proxy/soak/rules.rs
@@ -1,22 +1,22 @@
-//! The rules that a run is checked by.
+//! The rules that every run has to satisfy.
 
 use super::record::{AttemptRecord, DrainInterval, RequestOutcome, RequestRecord, RunRecord};
 use std::time::Duration;
 
-/// What the rules allow beyond their figures.
+/// Tolerance of the time limits in the rules.
 const SLACK: Duration = Duration::from_millis(50);
-/// What the threads of this test may be late on a loaded machine.
+/// Additional tolerance for delays of the test's own threads on a loaded machine.
 pub const TEST_THREAD_DELAY: Duration = Duration::from_millis(400);
-/// A request that gets its answer so long after its deadline is lost.
-pub const ANSWER_LATEST: Duration = Duration::from_millis(500);
-/// No attempt begins later than this after its client has disconnected.
-const AFTER_DISCONNECT: Duration = Duration::from_millis(100);
-/// What an attempt may send upstream as remaining time beyond what its client has left.
+/// Time after its deadline by which a request must have its response.
+pub const MAX_ANSWER_DELAY: Duration = Duration::from_millis(500);
+/// Time after a client's disconnect by which attempts of its request may still be sent.
+const MAX_SEND_AFTER_DISCONNECT: Duration = Duration::from_millis(100);
+/// Maximum by which the time left that a backend receives may exceed the client's actual time left.
 const TIME_LEFT_SLACK: Duration = Duration::from_millis(150);
-/// No attempt goes to a backend that has drained for longer.
-const STOP_SENDING: Duration = Duration::from_secs(1);
+/// Time after the start of a backend's drain by which attempts may still be sent to it.
+const MAX_SEND_AFTER_DRAIN: Duration = Duration::from_secs(1);
 
-/// All that was broken in a run.
+/// Returns descriptions of all rule violations in a run.
 pub fn check_rules(record: &RunRecord, log: &str) -> Vec<String> {
     let (requests, attempts) = (record.requests.lock().unwrap(), record.attempts.lock().unwrap());
     let mut violations = Vec::new();
@@ -24,7 +24,7 @@
         let none = Vec::new();
         let attempts = attempts.get(id).unwrap_or(&none);
         let found = [
-            check_answer(*id, request, log),
+            check_response(*id, request, log),
             check_retries(request, attempts, record.idempotency_window),
             check_attempts(request, attempts),
         ];
@@ -33,57 +33,60 @@
     }
     let drains = record.drains.lock().unwrap();
     for attempt in attempts.values().flatten() {
-        let drain = drains.iter().find(|drain| is_sent_while_draining(attempt, drain));
-        let describe = |drain| format!("sent to a draining backend: {attempt:?} {drain:?}");
+        let drain = drains.iter().find(|drain| was_sent_while_draining(attempt, drain));
+        let describe = |drain| format!("attempt sent to a draining backend: {attempt:?} {drain:?}");
         violations.extend(drain.map(describe));
     }
     violations
 }
 
-fn is_sent_while_draining(attempt: &AttemptRecord, drain: &DrainInterval) -> bool {
+fn was_sent_while_draining(attempt: &AttemptRecord, drain: &DrainInterval) -> bool {
     attempt.backend == drain.backend
-        && attempt.at > drain.from + STOP_SENDING + SLACK + TEST_THREAD_DELAY
+        && attempt.at > drain.from + MAX_SEND_AFTER_DRAIN + SLACK + TEST_THREAD_DELAY
         && drain.until.is_none_or(|until| attempt.at < until)
 }
 
-/// The request was accepted, and had no answer or one that was too late.
-fn check_answer(id: u64, request: &RequestRecord, log: &str) -> Option<&'static str> {
+/// Violated if the request was accepted and had no response, or if its response was too late.
+fn check_response(id: u64, request: &RequestRecord, log: &str) -> Option<&'static str> {
     let field = format!(" correlation_id={id:x} ");
     let is_accepted = || log.lines().any(|line| line.contains("request received ") && line.contains(&field));
-    let latest = request.sent + request.time_left + ANSWER_LATEST + TEST_THREAD_DELAY;
+    let latest = request.sent + request.time_left + MAX_ANSWER_DELAY + TEST_THREAD_DELAY;
     match request.outcome {
-        RequestOutcome::Unanswered if is_accepted() => Some("no answer"),
-        RequestOutcome::Answered { at, .. } if at > latest => Some("late answer"),
+        RequestOutcome::Unanswered if is_accepted() => Some("no response"),
+        RequestOutcome::Answered { at, .. } if at > latest => Some("late response"),
         _ => None,
     }
 }
 
-/// The request was executed again, or may have been executed and was rejected.
+/// Violated if the request was retried although it may have been executed and may not be executed twice, or
+/// if it was rejected although it may have been executed.
 fn check_retries(
     request: &RequestRecord, attempts: &[AttemptRecord], idempotency_window: Duration,
 ) -> Option<&'static str> {
-    let may_have_run: Vec<&AttemptRecord> = attempts.iter().filter(|attempt| attempt.may_have_run).collect();
+    let may_have_been_executed: Vec<&AttemptRecord> =
+        attempts.iter().filter(|attempt| attempt.may_have_been_executed).collect();
     let is_rejected = matches!(request.outcome, RequestOutcome::Answered { status: 429 | 503, .. });
-    let (first, last) = (may_have_run.first()?, attempts.last()?);
+    let (first, last) = (may_have_been_executed.first()?, attempts.last()?);
     let window_end = first.at + idempotency_window + SLACK + TEST_THREAD_DELAY;
     match request.class {
-        "pay" if attempts.len() > 1 && last.at > first.at => Some("sent again after it may have run"),
-        "vote" if last.at > window_end => Some("sent again after its window"),
-        "pay" | "vote" if is_rejected => Some("rejected after it may have run"),
+        "pay" if attempts.len() > 1 && last.at > first.at => Some("retried after it may have been executed"),
+        "vote" if last.at > window_end => Some("retried after its idempotency window"),
+        "pay" | "vote" if is_rejected => Some("rejected after it may have been executed"),
         _ => None,
     }
 }
 
-/// More time was sent upstream than was left, or an attempt began after its client had disconnected.
+/// Violated if a backend received more time left than the client had, or an attempt after the client had
+/// disconnected.
 fn check_attempts(request: &RequestRecord, attempts: &[AttemptRecord]) -> Option<&'static str> {
     for attempt in attempts {
         let time_left = request.time_left.saturating_sub(attempt.at.saturating_duration_since(request.sent));
         if attempt.time_left > time_left + TIME_LEFT_SLACK + TEST_THREAD_DELAY {
-            return Some("too much time sent upstream");
+            return Some("backend received more time left than the client had");
         }
         if let RequestOutcome::Disconnected { at } = request.outcome {
-            if attempt.at > at + AFTER_DISCONNECT + SLACK + TEST_THREAD_DELAY {
-                return Some("sent after its client had disconnected");
+            if attempt.at > at + MAX_SEND_AFTER_DISCONNECT + SLACK + TEST_THREAD_DELAY {
+                return Some("attempt sent after its client disconnected");
             }
         }
     }
--- a/tests/proxy/time_left.rs
+++ b/tests/proxy/time_left.rs
@@ -1,4 +1,4 @@
-//! The remaining time sent upstream is at most what the client has left, with 0.15 s of slack.
+//! The time left that a backend receives exceeds the client's actual time left by at most 0.15 s.
 
 use crate::support::{
     config, endpoint, ok_response, proxy_for, request, Backend, Client, Discovery, ProxyProcess,
@@ -7,39 +7,42 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// A proxy may be stalled for so long.
-const STALL: Duration = Duration::from_millis(150);
+/// Longest stall of the proxy that has to be tolerated.
+const MAX_STALL: Duration = Duration::from_millis(150);
 
-/// A stall before the request is read must leave the slack to one after the time is sent.
-const MOST_BEFORE_READ: Duration = Duration::from_millis(60);
+/// Maximum excess caused by a stall before the request is read, which leaves the rest of the tolerance to a
+/// stall after the time left was sent.
+const MAX_EXCESS_BEFORE_READ: Duration = Duration::from_millis(60);
 
-/// What an attempt sent upstream as remaining time, and when.
+/// The time left that a backend received, and when.
 #[derive(Clone, Copy)]
-struct SentTimeLeft {
+struct ReceivedTimeLeft {
     at: Instant,
     time_left_ms: i64,
 }
 
-impl SentTimeLeft {
-    /// By how much it exceeds what the client had left then, in ms.
+impl ReceivedTimeLeft {
+    /// Milliseconds by which it exceeds the client's actual time left on receipt. `sent` is when the client
+    /// sent the request, `time_left_ms` the time left that the client stated.
     fn excess_ms(&self, sent: Instant, time_left_ms: u64) -> i64 {
         self.time_left_ms - (time_left_ms as i64 - (self.at - sent).as_millis() as i64)
     }
 }
 
-/// A backend that records the last remaining time that was sent to it.
-fn start_recording_backend() -> (Backend, Arc<Mutex<Option<SentTimeLeft>>>) {
+/// Starts a backend that records the time left of the last request that it received.
+fn start_recording_backend() -> (Backend, Arc<Mutex<Option<ReceivedTimeLeft>>>) {
     let last = Arc::new(Mutex::new(None));
     let recorded = last.clone();
     let backend = Backend::start(move |message| {
         let time_left_ms: i64 = message.header("x-time-left-ms").unwrap().parse().unwrap();
-        *recorded.lock().unwrap() = Some(SentTimeLeft { at: Instant::now(), time_left_ms });
+        *recorded.lock().unwrap() = Some(ReceivedTimeLeft { at: Instant::now(), time_left_ms });
         ok_response("x")
     });
     (backend, last)
 }
 
-/// The excess of the remaining time sent upstream, where the proxy is stalled as the request comes.
+/// Returns the excess in milliseconds for a request that arrives while the proxy is stalled, on a connection
+/// that was idle for `idle_ms` before.
 fn excess_after_stall(class: &str, time_left_ms: u64, idle_ms: u64) -> i64 {
     let (backend, last) = start_recording_backend();
     let (proxy, _discovery) = proxy_for(&[("a", &backend)]);
@@ -48,7 +51,7 @@
     client.read_response().unwrap();
     std::thread::sleep(Duration::from_millis(idle_ms));
     let mut sent = Instant::now();
-    proxy.stall(STALL - Duration::from_millis(10), || {
+    proxy.stall(MAX_STALL - Duration::from_millis(10), || {
         sent = Instant::now();
         client.send(&request(class, time_left_ms));
     });
@@ -57,24 +60,25 @@
     last.excess_ms(sent, time_left_ms)
 }
 
-/// Guards against a remaining time that does not deduct what the request waited before it was read.
+/// Guards against a time left that includes the time the request waited before it was read.
 #[test]
-fn the_time_left_sent_upstream_excludes_the_wait_before_the_request_was_read() {
+fn the_time_left_excludes_the_wait_before_the_request_was_read() {
     for class in ["read", "vote", "pay"] {
         for idle_ms in [0, 100, 700] {
             let excess = excess_after_stall(class, 2000, idle_ms);
             println!("{class}, after {idle_ms} ms idle: {excess} ms");
             assert!(
-                excess < MOST_BEFORE_READ.as_millis() as i64,
-                "{class}, after {idle_ms} ms idle: {excess} ms too much"
+                excess < MAX_EXCESS_BEFORE_READ.as_millis() as i64,
+                "{class}, after {idle_ms} ms idle: time left exceeds the client's by {excess} ms"
             );
         }
     }
 }
 
-/// Guards against a remaining time that does not deduct what the connection waited behind idle clients.
+/// Guards against a time left that includes the time the connection waited to be accepted behind idle
+/// clients.
 #[test]
-fn the_time_left_sent_upstream_excludes_the_wait_for_the_accept() {
+fn the_time_left_excludes_the_wait_for_the_accept() {
     let (backend, last) = start_recording_backend();
     let discovery = Discovery::start();
     let mut config = config(discovery.address, &[endpoint("a", backend.address, "ready", 0)]);
@@ -86,7 +90,10 @@
         client.send(&request("pay", 2000));
         assert_eq!(client.read_response().map(|response| response.status()), Some(200));
         let excess = last.lock().unwrap().unwrap().excess_ms(sent, 2000);
-        assert!(excess < STALL.as_millis() as i64, "behind {idle_count} idle clients: {excess} ms too much");
+        assert!(
+            excess < MAX_STALL.as_millis() as i64,
+            "behind {idle_count} idle clients: time left exceeds the client's by {excess} ms"
+        );
         drop(idle_clients);
     }
 }
--- a/tests/proxy/unframed_responses.rs
+++ b/tests/proxy/unframed_responses.rs
@@ -1,4 +1,4 @@
-//! Responses without a length, whose end is that of their connection.
+//! Close-delimited responses, which have no length and end with their connection.
 
 use crate::support::{
     config, endpoint, ok_response, proxy_for, read_message, request, send_request, warm_up, Backend,
@@ -8,19 +8,19 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::Duration;
 
-/// How a backend ends a response without a length.
+/// How a backend ends a close-delimited response.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum ConnectionEnd {
-    /// It closes the connection.
+    /// Closes the connection.
     Close,
-    /// It closes its sending side alone.
+    /// Shuts down only its sending side.
     HalfClose,
-    /// It resets the connection, at once or a while after the bytes.
+    /// Resets the connection after this delay from the last byte.
     Reset(Duration),
 }
 
-/// A backend whose responses to POST requests have no length.
-fn start_unframed_backend(head: &'static str, end: ConnectionEnd) -> SocketAddr {
+/// Starts a backend whose responses to POST requests are close-delimited.
+fn start_close_delimited_backend(head: &'static str, end: ConnectionEnd) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     std::thread::spawn(move || {
@@ -38,7 +38,7 @@
             stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx").unwrap();
             continue;
         }
-        // In two parts: the end may come long after the beginning.
+        // Written in two parts, so that the end arrives well after the beginning.
         let _ = stream.write_all(format!("{head}\r\n\r\nno ").as_bytes());
         std::thread::sleep(Duration::from_millis(20));
         let _ = stream.write_all(b"length");
@@ -59,24 +59,24 @@
     }
 }
 
-/// The responses to one request of each class that may not simply be repeated, after a warm-up.
-fn responses(head: &'static str, end: ConnectionEnd) -> Vec<Message> {
-    let backend = start_unframed_backend(head, end);
+/// Returns the responses to one request of each class that is not freely retriable, sent after a warm-up.
+fn responses_per_class(head: &'static str, end: ConnectionEnd) -> Vec<Message> {
+    let backend = start_close_delimited_backend(head, end);
     let discovery = Discovery::start();
     let proxy = ProxyProcess::start(&config(discovery.address, &[endpoint("a", backend, "ready", 0)]));
     warm_up(&proxy);
     ["pay", "vote"].map(|class| send_request(&proxy, &request(class, 3000))).into()
 }
 
-const HEADS: [&str; 3] =
+const RESPONSE_HEADS: [&str; 3] =
     ["HTTP/1.1 200 OK", "HTTP/1.1 200 OK\r\nConnection: close", "HTTP/1.0 200 OK\r\nX-Other: 1"];
 
-/// Guards against whole responses without a length that pass for failures.
+/// Guards against treating a complete close-delimited response as a failure.
 #[test]
-fn an_answer_without_a_length_that_ends_properly_is_served() {
-    for head in HEADS {
+fn a_complete_close_delimited_response_is_served() {
+    for head in RESPONSE_HEADS {
         for end in [ConnectionEnd::Close, ConnectionEnd::HalfClose] {
-            for response in responses(head, end) {
+            for response in responses_per_class(head, end) {
                 assert_eq!(
                     (response.status(), &response.body[..]),
                     (200, &b"no length"[..]),
@@ -87,33 +87,33 @@
     }
 }
 
-/// Guards against a reset that passes for the end of a response, however long after the last byte it comes.
+/// Guards against treating a connection reset, immediate or delayed, as the end of a response.
 #[test]
-fn an_answer_without_a_length_that_is_reset_is_not_served() {
-    for head in HEADS {
+fn a_close_delimited_response_that_is_reset_is_not_served() {
+    for head in RESPONSE_HEADS {
         for after in [Duration::ZERO, Duration::from_millis(30)] {
-            for response in responses(head, ConnectionEnd::Reset(after)) {
+            for response in responses_per_class(head, ConnectionEnd::Reset(after)) {
                 assert_ne!(response.status(), 200, "{head:?}, {after:?}");
             }
         }
     }
 }
 
-/// Guards against a body that is passed on in a transfer coding that was not undone.
+/// Guards against forwarding a body that is still in a transfer coding.
 #[test]
-fn an_answer_with_an_unknown_transfer_coding_is_not_served() {
+fn a_response_with_an_unsupported_transfer_coding_is_not_served() {
     for head in
         ["HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip", "HTTP/1.1 200 OK\r\nTransfer-Encoding: identity"]
     {
-        for response in responses(head, ConnectionEnd::Close) {
+        for response in responses_per_class(head, ConnectionEnd::Close) {
             assert_ne!(response.status(), 200, "{head:?}");
         }
     }
 }
 
-/// Guards against a response over the longest body that is cut and served.
+/// Guards against truncating and serving a response whose body exceeds the size limit.
 #[test]
-fn an_answer_without_a_length_is_served_up_to_the_longest_body() {
+fn a_close_delimited_response_is_served_up_to_the_size_limit() {
     for (length, status) in [(64 << 10, 200), ((64 << 10) + 1, 502)] {
         let backend = Backend::start(move |message| match message.start_line.starts_with("POST") {
             true => Reply::SendAndClose(format!("HTTP/1.1 200 OK\r\n\r\n{}", "x".repeat(length))),
@@ -122,7 +122,7 @@
         let (proxy, _discovery) = proxy_for(&[("a", &backend)]);
         warm_up(&proxy);
         let response = send_request(&proxy, &request("pay", 3000));
-        assert_eq!(response.status(), status, "{length}");
+        assert_eq!(response.status(), status, "body of {length} bytes");
         assert!(status != 200 || response.body.len() == length);
     }
 }
