--- a/src/action.rs
+++ b/src/action.rs
@@ -1,70 +1,71 @@
-//! What the balancer asks of its host.
+//! Actions: the output of the balancer, which its host carries out.
 
 use crate::config::ConfigError;
 use crate::event::Outcome;
 use crate::units::{AttemptNumber, BackendId, Micros, RequestId, Time, TimerToken};
 use std::fmt;
 
-/// Something to do. Actions are carried out in order.
+/// A command to the host. Actions are carried out in the order in which they are returned.
 ///
-/// Attempts of a request are numbered from 0 in the order of their [`Dispatch`](Action::Dispatch), by host
-/// and balancer alike. There is no action for a served request: the host forwards a
+/// Host and balancer both number the attempts of a request from 0 in the order of their
+/// [`Dispatch`](Action::Dispatch). There is no action for a served request: the host forwards a
 /// [`Success`](Outcome::Success) at once and reports it as [`answered`](crate::AttemptResult::answered).
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send an attempt; it may last until the client gives up.
+    /// Sends an attempt, which may last until the client gives up.
     Dispatch {
         /// The request.
         request: RequestId,
-        /// Where to.
+        /// The backend that receives the attempt.
         backend: BackendId,
-        /// What is not written whole by then must not be written any more: it ends as [`Outcome::NotSent`].
+        /// Time by which the whole request must be written. If it is not, the host must not send the rest,
+        /// and the attempt ends as [`Outcome::NotSent`]. `None` sets no limit.
         write_by: Option<Time>,
     },
-    /// Final answer: rejected, a client retry is harmless.
+    /// Rejects the request, which is its final answer: the client may safely retry it.
     Reject {
         /// The request.
         request: RequestId,
     },
-    /// Final answer: failed, nothing is promised.
+    /// Fails the request, which is its final answer: it may have been executed.
     Fail {
         /// The request.
         request: RequestId,
     },
-    /// Stop waiting for an attempt.
+    /// Cancels an attempt in flight; the host then reports its end.
     CancelAttempt {
         /// The request.
         request: RequestId,
         /// The attempt.
         attempt: AttemptNumber,
     },
-    /// Ask for an [`Event::TimerFired`](crate::Event::TimerFired).
+    /// Sets a timer that reports [`Event::TimerFired`](crate::Event::TimerFired).
     SetTimer {
-        /// The token it is to carry.
+        /// The token that the event carries.
         token: TimerToken,
-        /// When, from now.
+        /// Time from now until it fires.
         delay: Micros,
     },
-    /// Call discovery for changes of the endpoint list.
+    /// Calls discovery to subscribe to changes of the endpoint list.
     Resubscribe,
-    /// Log an event for operators.
+    /// Logs an event for operators.
     Log(LogEvent),
 }
 
-/// What is logged for operators. `Display` is for hosts that log text alone; the proxy logs a message with
-/// fields.
+/// An event in the operators' log. `Display` is for hosts that log plain text; the proxy logs a message with
+/// structured fields instead.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LogEvent {
-    /// The subscription to the endpoint list was lost; a call follows after a backoff.
+    /// The subscription to the endpoint list was lost. A new call follows after a backoff.
     SubscriptionLost,
     /// A backend was ejected as an outlier.
     BackendEjected {
         /// The backend.
         backend: BackendId,
-        /// The outcome of the attempt that led to it.
+        /// The outcome of the attempt that caused the ejection.
         outcome: Outcome,
     },
-    /// A replaced configuration is not sound; the one held stays in force.
+    /// A new configuration is invalid; the active configuration stays.
     ConfigRejected(ConfigError),
 }
 
--- a/src/backend.rs
+++ b/src/backend.rs
@@ -1,54 +1,54 @@
-//! Entries of the endpoint list.
+//! Entries and updates of the endpoint list.
 
 use crate::units::{BackendId, CellId, KindId, Time, ZoneId};
 
 /// An entry of the endpoint list.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Backend {
-    /// Which backend.
+    /// Identifies the backend; the same number at every proxy.
     pub id: BackendId,
-    /// Its zone.
+    /// The network zone it runs in.
     pub zone: ZoneId,
-    /// Its cell.
+    /// The cell it belongs to: backends of a cell share the idempotency keys they have seen.
     pub cell: CellId,
-    /// Its kind.
+    /// Its kind of machine.
     pub kind: KindId,
-    /// What it may be sent.
+    /// Whether it accepts new requests.
     pub state: BackendState,
-    /// When its process started; `None` means long ago.
+    /// When its process started; `None` for a process that started long ago and needs no slow start.
     pub started_at: Option<Time>,
-    /// The list's weight, compared within a kind only; read where
+    /// The list's weight for the backend, comparable only within a kind. Used only where
     /// [`Config::live_weights`](crate::Config::live_weights) is set.
     pub weight: f64,
 }
 
-/// What a backend may be sent.
+/// Whether a backend accepts new requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum BackendState {
-    /// Requests.
+    /// Accepts requests.
     Ready,
-    /// Nothing new: it finishes what it has.
+    /// Accepts no new requests and finishes those in flight.
     Draining,
-    /// Nothing: it has left.
+    /// Has left the fleet.
     #[default]
     Removed,
 }
 
-/// What an endpoint list stands for.
+/// How the entries of an update relate to the current endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointListUpdate {
-    /// The entries that changed.
+    /// The update holds the entries that changed.
     Delta,
-    /// Every entry; what is absent is removed.
+    /// The update holds every entry; backends that are absent are removed.
     Snapshot,
-    /// Every entry as it was before a restart, perhaps out of date.
+    /// The update holds every entry as it was before a restart of the proxy, and may be out of date.
     Cached,
-    /// The call or the subscription failed; the list held stays in force.
+    /// The call or the subscription failed; the current list stays.
     SubscriptionLost,
 }
 
 impl EndpointListUpdate {
-    /// Whether the entries are all there are: what they do not name is removed.
+    /// Whether the update holds every entry, so that backends that it does not name are removed.
     pub fn is_complete(self) -> bool {
         matches!(self, EndpointListUpdate::Snapshot | EndpointListUpdate::Cached)
     }
--- a/src/balancer/fleet.rs
+++ b/src/balancer/fleet.rs
@@ -1,34 +1,36 @@
-//! The backends and kinds that this proxy knows of: membership by the endpoint list. Each part of a record
-//! belongs to the module whose type it has, which alone changes it; a plain number names the module that sets
-//! it.
+//! The backends known to this proxy and their kinds; the endpoint list decides which backends there are.
+//!
+//! A field of a tracked backend or kind is changed only by the module that defines its type. For a plain
+//! number, the comment names the module that sets it.
 
 use super::concurrency_limit::ConcurrencyLimit;
 use super::outlier_detection::Health;
 use super::slow_start::RecentWork;
-use super::speed_estimation::KindSpeed;
+use super::speed_estimation::KindServiceRate;
 use super::subset::{KindSubset, SubsetCoverage};
-use super::traffic_allocation::PickTable;
+use super::traffic_allocation::SelectionTable;
 use crate::backend::{Backend, BackendState, EndpointListUpdate};
 use crate::units::{BackendId, KindId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Kinds up to which those without a backend are remembered: what was learned of a kind outlives an empty
-/// list, and names that come and go do not add up.
-const REMEMBERED_KINDS: usize = 16;
-/// Guards a division by the ready backends of a kind.
-const LEAST_READINESS: f64 = 1e-9;
+/// Number of kinds above which those without a backend are dropped. Below it their statistics survive an
+/// empty list; the limit bounds the memory if kinds come and go.
+const MAX_RETAINED_KINDS: usize = 16;
+/// Lower bound of a divisor, against division by zero.
+const MIN_READINESS: f64 = 1e-9;
 
-/// What is known of a backend.
+/// State of a backend at this proxy.
 #[derive(Default)]
 pub(super) struct TrackedBackend {
     /// Its entry in the endpoint list.
     pub record: Backend,
-    /// From 0 (send nothing) to 1 (healthy, warm, not overloaded): its health times its warm fraction times
-    /// what its reported load leaves. Set by `share_update`; an ejection sets it to 0 at once.
+    /// Usable fraction of its capacity, from 0 (send nothing) to 1 (healthy, warm, not overloaded): the
+    /// product of health factor, warm fraction and reported load factor. Set by `share_update`;
+    /// `outlier_detection` sets it to 0 on an ejection.
     pub readiness: f64,
-    /// Its part of this proxy's traffic; set by `traffic_allocation`.
+    /// Fraction of this proxy's traffic that it receives; set by `traffic_allocation`.
     pub traffic_share: f64,
-    /// Attempts of this proxy that have not ended.
+    /// Number of this proxy's attempts in flight there.
     in_flight: u32,
     pub health: Health,
     pub recent_work: RecentWork,
@@ -37,29 +39,29 @@
 }
 
 impl TrackedBackend {
-    /// Attempts of this proxy that have not ended.
+    /// Number of this proxy's attempts in flight there.
     pub fn in_flight(&self) -> u32 {
         self.in_flight
     }
 
-    /// An attempt was dispatched.
+    /// Records the dispatch of an attempt.
     pub fn attempt_started(&mut self) {
         self.in_flight += 1;
     }
 
-    /// An attempt ended, however that was.
+    /// Records the end of an attempt, whatever its outcome.
     pub fn attempt_ended(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
-    /// The list allows new requests.
+    /// Whether the endpoint list has it as ready for new requests.
     pub fn is_listed_ready(&self) -> bool {
         self.record.state == BackendState::Ready
     }
 
-    /// A restarted process has nothing in common with the one before it but what this proxy sent to the
-    /// address.
-    fn forget_process(&mut self) {
+    /// Drops what was recorded of the process before a restart, except the attempts that this proxy sent to
+    /// its address.
+    fn reset_after_restart(&mut self) {
         *self = TrackedBackend {
             in_flight: self.in_flight,
             recent_work: std::mem::take(&mut self.recent_work),
@@ -68,23 +70,23 @@
     }
 }
 
-/// What is known of a kind of backend.
+/// State of a kind of backend at this proxy.
 #[derive(Default)]
 pub(super) struct TrackedKind {
-    pub speed: KindSpeed,
-    /// Sum of the readiness of its backends. Set by `share_update`, like the next three.
+    pub speed: KindServiceRate,
+    /// Sum of the readiness of its backends. Set by `share_update`, like the next three fields.
     pub total_readiness: f64,
-    /// How many backends the list allows requests to, whatever their health.
+    /// Number of its backends that the endpoint list has as ready, whatever their health.
     pub listed_ready_backends: f64,
-    /// Part of the traffic of all proxies, by HALB.
+    /// Fraction of the traffic of all proxies that it receives, by HALB.
     pub fleet_share: f64,
-    /// Highest weight that the list gave one of its backends: that of an idle one.
+    /// Highest weight that the endpoint list ever gave one of its backends; taken for that of an idle one.
     pub idle_weight: f64,
     pub subset: KindSubset,
-    pub picks: PickTable,
+    pub picks: SelectionTable,
 }
 
-/// All backends and kinds.
+/// All backends and kinds known to this proxy.
 #[derive(Default)]
 pub(super) struct Fleet {
     pub backends: BTreeMap<BackendId, TrackedBackend>,
@@ -97,16 +99,16 @@
         self.kinds.get(&backend.record.kind)
     }
 
-    /// The part of the traffic of all proxies that a backend receives where subsets, zones and slow start
-    /// change nothing.
+    /// Fraction of the traffic of all proxies that a backend receives before subsets, zone preference and
+    /// slow start are applied: its kind's HALB share, divided in proportion to readiness.
     pub fn fair_share(&self, backend: &TrackedBackend) -> f64 {
-        let part_of = |kind: &TrackedKind| {
-            kind.fleet_share * backend.readiness / kind.total_readiness.max(LEAST_READINESS)
+        let share_within = |kind: &TrackedKind| {
+            kind.fleet_share * backend.readiness / kind.total_readiness.max(MIN_READINESS)
         };
-        self.kind_of(backend).map_or(0.0, part_of)
+        self.kind_of(backend).map_or(0.0, share_within)
     }
 
-    /// Takes in an endpoint list; true if anything but weights changed.
+    /// Applies an endpoint list update; returns whether anything other than weights changed.
     pub fn apply(&mut self, update: EndpointListUpdate, list: Vec<Backend>) -> bool {
         let mut changed = false;
         if update.is_complete() {
@@ -115,9 +117,9 @@
         for record in list {
             let backend = self.backends.entry(record.id).or_default();
             if backend.record.started_at != record.started_at {
-                backend.forget_process();
+                backend.reset_after_restart();
             }
-            // A live weight moves all the time; the next periodic update of the shares takes it in.
+            // Live weights change constantly; the next periodic share update applies them.
             changed |= backend.record != Backend { weight: backend.record.weight, ..record.clone() };
             backend.record = record;
         }
@@ -136,12 +138,12 @@
         changed
     }
 
-    /// Forgets removed backends that nothing is in flight to, and kinds without a backend once there are
-    /// many.
+    /// Drops removed backends without attempts in flight, and kinds without a backend above
+    /// [`MAX_RETAINED_KINDS`].
     pub fn prune(&mut self) {
         self.backends
             .retain(|_, backend| backend.record.state != BackendState::Removed || backend.in_flight > 0);
-        if self.kinds.len() > REMEMBERED_KINDS {
+        if self.kinds.len() > MAX_RETAINED_KINDS {
             let listed: BTreeSet<KindId> =
                 self.backends.values().map(|backend| backend.record.kind).collect();
             self.kinds.retain(|kind, _| listed.contains(kind));
--- a/src/balancer/outlier_detection.rs
+++ b/src/balancer/outlier_detection.rs
@@ -1,5 +1,8 @@
-//! Outlier detection: which backends fail or fall silent while others answer? They are ejected for a time
-//! that grows with each ejection, and come back on probation.
+//! Outlier detection: ejects backends that fail or stop responding while others answer.
+//!
+//! The time of an ejection doubles with each ejection of the backend, up to a maximum. Afterwards the backend
+//! is on probation until it has served some requests. An error rate is an exponentially weighted mean over
+//! the outcomes of a backend's attempts, from 0 (no errors) to 1.
 
 use super::fleet::{Fleet, TrackedBackend};
 use super::request::InFlightAttempt;
@@ -7,58 +10,61 @@
 use crate::random::Random;
 use crate::units::{BackendId, Micros, Time};
 
-/// Successes after an ejection for error answers that clear it. A backend that answers every fourth request
-/// with an error is likely to be ejected again before that many.
+/// Successes after an ejection for error answers that end the probation. A backend that answers every fourth
+/// request with an error is likely to be ejected again before that.
 const PROBATION_SUCCESSES: u32 = 10;
-/// Least error rate at which a backend is ejected: two errors close together reach it.
-const LEAST_EJECTION_ERROR_RATE: f64 = 0.3;
-/// Standard deviations above the mean error rate of the others from which it is not chance.
+/// Minimum error rate at which a backend is ejected; two errors in close succession exceed it.
+const MIN_EJECTION_ERROR_RATE: f64 = 0.3;
+/// Standard deviations above the mean error rate of the other backends at which a backend is an outlier.
 const OUTLIER_DEVIATIONS: f64 = 5.0;
 /// Weight of the newest outcome in an error rate.
 const ERROR_RATE_WEIGHT: f64 = 0.2;
-/// An attempt this many times older than typical, with no later answer of its backend, marks it as
-/// unresponsive.
-const UNRESPONSIVE_LATENCIES: f64 = 6.0;
-/// Mean length of a first ejection.
+/// An attempt that is older than this multiple of its typical latency marks its backend as unresponsive,
+/// unless the backend has answered since the attempt was sent.
+const UNRESPONSIVE_LATENCY_MULTIPLE: f64 = 6.0;
+/// Mean duration of a backend's first ejection.
 const BASE_EJECTION_TIME: Micros = Micros(1_000_000);
-/// The jitter factor of an ejection time, before doubling, is drawn from this ...
+/// Lower end of the jitter factor of an ejection time, which is drawn uniformly.
 const MIN_JITTER_FACTOR: f64 = 0.75;
-/// ... to this much more.
+/// Difference between the upper and the lower end of the jitter factor.
 const JITTER_FACTOR_SPREAD: f64 = 0.5;
-/// Doublings of the ejection time at most: a backend that has recovered is back within some seconds.
+/// Maximum number of doublings of the ejection time, so that a recovered backend is used again within
+/// seconds.
 const MAX_EJECTION_DOUBLINGS: i32 = 3;
-/// With a larger part of the fleet ejected, ejected backends are used: then it is not they that fail.
+/// With a larger fraction of the listed backends ejected, ejected backends are used all the same: the cause
+/// is then likely not in the backends.
 const PANIC_THRESHOLD_FRACTION: f64 = 0.5;
 
-/// What this proxy saw of a backend's health.
+/// The health of a backend as observed by this proxy.
 #[derive(Default)]
 pub(super) struct Health {
     error_rate: f64,
     last_response: Time,
     is_unresponsive: bool,
     ejected_until: Option<Time>,
-    /// The last connection to it did not come up.
+    /// Whether the last attempt to connect failed.
     is_unreachable: bool,
-    /// Ejections that no probation has cleared.
+    /// Number of ejections since the last completed probation.
     ejections: i32,
-    /// Successes that are still needed to clear them; failures in between do not count.
+    /// Successes still needed to complete the probation; failures in between do not reset it.
     probation_successes_left: u32,
-    /// From 0 (not to be used) to 1 (no errors of late).
+    /// From 0 (not to be used) to 1 (no recent errors).
     factor: f64,
 }
 
 impl Health {
-    /// From 0 (not to be used) to 1 (no errors of late).
+    /// Usable fraction of the backend by its health, from 0 (not to be used) to 1 (no recent errors).
     pub fn factor(&self) -> f64 {
         self.factor
     }
 
-    /// Attempts are overdue, and nothing came back since.
+    /// Whether an attempt is overdue and the backend has not answered since it was sent.
     pub fn is_unresponsive(&self) -> bool {
         self.is_unresponsive
     }
 
-    /// It has answered something after that time; an answer at that very time may be to an earlier request.
+    /// Whether the backend has answered after `time`. An answer at exactly `time` may belong to an earlier
+    /// request and does not count.
     pub fn has_responded_since(&self, time: Time) -> bool {
         self.last_response > time
     }
@@ -87,7 +93,7 @@
         self.error_rate += (1.0 - self.error_rate) * ERROR_RATE_WEIGHT;
     }
 
-    /// Ends an ejection whose time is over. The ejections still count: the next failure ejects for longer.
+    /// Ends an ejection whose time has passed. `ejections` stays, so that the next ejection lasts longer.
     fn end_ejection(&mut self, now: Time) {
         if self.ejected_until.is_some_and(|until| now >= until) {
             self.ejected_until = None;
@@ -96,47 +102,48 @@
     }
 }
 
-/// The backends that are marked as unresponsive, so that the marks can be taken back.
+/// The backends currently marked as unresponsive, so that the next update can clear their marks.
 #[derive(Default)]
 pub(super) struct UnresponsiveBackends {
     marked: Vec<BackendId>,
 }
 
-/// An ejection that was carried out.
+/// An ejection of a backend, for the operators' log.
 pub(super) struct Ejected {
     pub backend: BackendId,
     pub outcome: Outcome,
 }
 
-/// Takes in the outcome of an attempt, and ejects its backend where that calls for it.
+/// Records the outcome of an attempt; ejects its backend and returns the ejection if the outcome calls for
+/// it.
 pub(super) fn record_outcome(
     fleet: &mut Fleet, now: Time, attempt: &InFlightAttempt, outcome: Outcome, random: &mut Random,
 ) -> Option<Ejected> {
     let health = &mut fleet.backends.get_mut(&attempt.backend)?.health;
     health.record_reachability(outcome);
-    let ejects = match outcome {
+    let should_eject = match outcome {
         Outcome::Success => {
             health.record_success(now);
             false
         }
         Outcome::Cancelled | Outcome::NotSent | Outcome::Rejected => false,
-        // A heavy request alone is no fault of its backend if that has answered others since, or as it was
-        // sent.
+        // A time-out is not the backend's fault if it has answered other requests since the attempt was sent:
+        // the request may be heavy.
         Outcome::TimedOut => health.last_response < attempt.sent_at,
         Outcome::ErrorResponse | Outcome::ConnectionReset | Outcome::ConnectFailed => {
             health.record_failure(now, outcome);
             is_outlier(fleet, attempt.backend, outcome)
         }
     };
-    if !ejects {
+    if !should_eject {
         return None;
     }
     eject(fleet, now, attempt.backend, outcome, random)
 }
 
 impl UnresponsiveBackends {
-    /// Marks the backends with attempts that are overdue. `typical` tells how long an attempt takes; the
-    /// result is when to look again.
+    /// Marks the backends with overdue attempts as unresponsive and clears all other marks. `typical` returns
+    /// the typical latency of an attempt. Returns the time of the next update.
     pub fn update<'a>(
         &mut self, fleet: &mut Fleet, now: Time, attempts: impl Iterator<Item = &'a InFlightAttempt>,
         typical: impl Fn(&InFlightAttempt) -> Micros,
@@ -146,37 +153,37 @@
                 backend.health.is_unresponsive = false;
             }
         }
-        let mut next_look = Time::NEVER;
+        let mut next_update = Time::NEVER;
         for attempt in attempts {
             let typical = typical(attempt);
-            let overdue_from = attempt.sent_at + typical.times(UNRESPONSIVE_LATENCIES);
+            let overdue_from = attempt.sent_at + typical.times(UNRESPONSIVE_LATENCY_MULTIPLE);
             if now < overdue_from {
-                next_look = next_look.min(overdue_from);
+                next_update = next_update.min(overdue_from);
                 continue;
             }
-            next_look = next_look.min(now + typical);
+            next_update = next_update.min(now + typical);
             let Some(backend) = fleet.backends.get_mut(&attempt.backend) else { continue };
             if !backend.health.has_responded_since(attempt.sent_at) {
                 backend.health.is_unresponsive = true;
                 self.marked.push(attempt.backend);
             }
         }
-        next_look
+        next_update
     }
 }
 
-/// Whether a backend's failures are reason enough to eject it. One connection that breaks or is refused is no
-/// dead process; after an ejection the first refused one is enough.
+/// Whether a backend is to be ejected after a failure. A single connection that breaks or is refused does not
+/// mean that the process is dead; on probation, one refused connection is enough.
 fn is_outlier(fleet: &Fleet, id: BackendId, outcome: Outcome) -> bool {
     let Some(backend) = fleet.backends.get(&id) else { return false };
     let health = &backend.health;
-    let limit =
-        if health.is_unreachable { LEAST_EJECTION_ERROR_RATE } else { ejection_error_rate(fleet, id) };
+    let limit = if health.is_unreachable { MIN_EJECTION_ERROR_RATE } else { ejection_error_rate(fleet, id) };
     health.error_rate > limit || (health.ejections > 0 && outcome == Outcome::ConnectFailed)
 }
 
-/// The error rate that tells an outlier. Where all backends fail, for a faulty network or a request that none
-/// can answer, ejecting those that failed last only overloads the rest.
+/// The error rate above which a backend is an outlier, relative to the other backends in the subset. If all
+/// backends fail, because of the network or of requests that none can answer, ejecting some of them would
+/// only overload the rest.
 fn ejection_error_rate(fleet: &Fleet, id: BackendId) -> f64 {
     let is_compared = |backend: &TrackedBackend| {
         let health = &backend.health;
@@ -190,12 +197,12 @@
         }
     }
     let mean = total / f64::max(count, 1.0);
-    // Of an exponentially weighted mean of yes-or-no outcomes with this probability.
+    // Standard deviation of an exponentially weighted mean of Bernoulli outcomes with the probability `mean`.
     let deviation = (mean * (1.0 - mean) * ERROR_RATE_WEIGHT / (2.0 - ERROR_RATE_WEIGHT)).sqrt();
-    (mean + OUTLIER_DEVIATIONS * deviation).max(LEAST_EJECTION_ERROR_RATE)
+    (mean + OUTLIER_DEVIATIONS * deviation).max(MIN_EJECTION_ERROR_RATE)
 }
 
-/// Ejects a backend unless it is ejected already.
+/// Ejects a backend; returns `None` if it is ejected already.
 fn eject(
     fleet: &mut Fleet, now: Time, id: BackendId, outcome: Outcome, random: &mut Random,
 ) -> Option<Ejected> {
@@ -213,9 +220,9 @@
     Some(Ejected { backend: id, outcome })
 }
 
-/// Ends ejections whose time is over, and sets the factor of every backend's health.
+/// Ends ejections whose time has passed, and updates the health factor of every backend.
 pub(super) fn update_health(fleet: &mut Fleet, now: Time) {
-    let ejections = Ejections::count(fleet);
+    let ejections = EjectionCounts::of(fleet);
     for backend in fleet.backends.values_mut() {
         backend.health.end_ejection(now);
         let is_listed_ready = backend.is_listed_ready();
@@ -223,24 +230,24 @@
         health.factor = if !is_listed_ready {
             0.0
         } else if health.ejected_until.is_some() {
-            f64::from(ejections.allow_use(health))
+            f64::from(ejections.allow_use_of(health))
         } else {
             1.0 - health.error_rate
         };
     }
 }
 
-/// How many backends are ejected.
+/// Numbers of backends that the endpoint list has as ready, and of those ejected among them.
 #[derive(Default)]
-struct Ejections {
+struct EjectionCounts {
     listed: f64,
     ejected: f64,
     ejected_unreachable: f64,
 }
 
-impl Ejections {
-    fn count(fleet: &Fleet) -> Ejections {
-        let mut counts = Ejections::default();
+impl EjectionCounts {
+    fn of(fleet: &Fleet) -> EjectionCounts {
+        let mut counts = EjectionCounts::default();
         for backend in fleet.backends.values().filter(|backend| backend.is_listed_ready()) {
             let health = &backend.health;
             counts.listed += 1.0;
@@ -250,8 +257,9 @@
         counts
     }
 
-    /// Whether an ejected backend is used all the same. An unreachable one is only where all are.
-    fn allow_use(&self, health: &Health) -> bool {
+    /// Whether an ejected backend is used all the same. An unreachable one is used only if all backends are
+    /// ejected and unreachable.
+    fn allow_use_of(&self, health: &Health) -> bool {
         let too_many = self.ejected > self.listed * PANIC_THRESHOLD_FRACTION;
         too_many && (!health.is_unreachable || self.ejected_unreachable == self.listed)
     }
--- a/src/balancer/reconfiguration.rs
+++ b/src/balancer/reconfiguration.rs
@@ -1,5 +1,5 @@
-//! A configuration that replaces the one in force: what was learned of classes and tenants that stay goes on
-//! under their new numbers, and requests in hand keep the terms that they came with.
+//! Replaces the active configuration. The statistics of classes and the quotas of tenants that remain are
+//! kept under their new indices, and pending requests keep the class settings with which they arrived.
 
 use super::classes::TrackedClass;
 use super::{shortest_objective, Balancer};
@@ -7,45 +7,48 @@
 use crate::config::ConfigUpdate;
 use crate::units::{ClassId, Time};
 
-/// From the numbers of classes before a reconfiguration to those after it.
+/// Maps the class indices of the replaced configuration to those of the new one, and carries the state of the
+/// classes over.
 pub(super) struct ClassMapping {
-    /// Classes of the replaced configuration that nobody has taken over yet.
+    /// The classes of the replaced configuration; `None` for those already assigned a new index.
     replaced: Vec<Option<TrackedClass>>,
-    new_numbers: Vec<ClassId>,
+    new_ids: Vec<ClassId>,
 }
 
 impl ClassMapping {
     pub fn new(replaced: Vec<TrackedClass>) -> ClassMapping {
-        let new_numbers = vec![ClassId(0); replaced.len()];
-        ClassMapping { replaced: replaced.into_iter().map(Some).collect(), new_numbers }
+        let new_ids = vec![ClassId(0); replaced.len()];
+        ClassMapping { replaced: replaced.into_iter().map(Some).collect(), new_ids }
     }
 
-    /// No class of the new configuration has taken this one over.
-    pub fn is_unassigned(&self, old_number: ClassId) -> bool {
-        self.replaced.get(old_number.0).is_some_and(Option::is_some)
+    /// Whether the class exists and has not been assigned a new index.
+    pub fn is_unassigned(&self, old_id: ClassId) -> bool {
+        self.replaced.get(old_id.0).is_some_and(Option::is_some)
     }
 
-    /// Gives a class its new number and takes out what was learned of it; `None` where that was done before.
-    pub fn assign(&mut self, old_number: ClassId, new_number: ClassId) -> Option<TrackedClass> {
-        let learned = self.replaced.get_mut(old_number.0)?;
-        self.new_numbers[old_number.0] = new_number;
-        learned.take()
+    /// Assigns a class its new index and returns its state; `None` if that was returned before or there is no
+    /// such class.
+    pub fn assign(&mut self, old_id: ClassId, new_id: ClassId) -> Option<TrackedClass> {
+        let class = self.replaced.get_mut(old_id.0)?;
+        self.new_ids[old_id.0] = new_id;
+        class.take()
     }
 
-    pub fn new_number(&self, old_number: ClassId) -> ClassId {
-        self.new_numbers[old_number.0]
+    /// The new index of a class that has been assigned one.
+    pub fn new_number(&self, old_id: ClassId) -> ClassId {
+        self.new_ids[old_id.0]
     }
 }
 
 impl Balancer {
-    /// Puts another configuration in force; one that is not sound changes nothing.
+    /// Applies a new configuration. An invalid one is logged and changes nothing.
     pub(super) fn reconfigure(&mut self, now: Time, update: ConfigUpdate) {
         if let Err(error) = update.config.validate() {
             return self.log.push(now, LogEvent::ConfigRejected(error), &mut self.actions);
         }
-        let before = self.config.discovery;
+        let old_discovery = self.config.discovery;
         self.replace_config(update);
-        self.subscription.reconfigure(now, before, self.config.discovery);
+        self.subscription.reconfigure(now, old_discovery, self.config.discovery);
         self.admission.reconfigure(&self.config);
         self.wakeup.schedule(now);
         self.update_shares(now);
--- a/src/balancer/rotation.rs
+++ b/src/balancer/rotation.rs
@@ -1,14 +1,14 @@
-//! Turns among the proxies of a fleet, which share nothing: each knows its place in the order by its index
-//! alone.
+//! A rotation of slots among the proxies of a fleet, without communication: a proxy computes its slot from
+//! its index and the time.
 //!
-//! The order moves on by one place each period of the host's clock. Where the hosts' clocks have one origin
-//! (Unix time in the proxy), the places of all proxies differ at every moment; else each has every place as
-//! often.
+//! Each proxy advances by one slot per period of its host's clock. If the clocks share one origin (Unix time
+//! in the proxy), no two proxies have the same slot for a backend at any time; otherwise each proxy still has
+//! every slot equally often.
 
 use crate::config::Config;
 use crate::units::{BackendId, Micros, Time};
 
-/// Places in an order of all proxies that moves on by one each period.
+/// A rotation that advances by one slot per period.
 pub(super) struct Rotation {
     proxy_count: u64,
     proxy_index: u64,
@@ -24,11 +24,11 @@
         }
     }
 
-    /// This proxy's place for a backend, from 0 to 1, evenly spaced over the proxies; another order for each
-    /// backend.
-    pub fn position(&self, backend: BackendId, now: Time) -> f64 {
+    /// This proxy's slot for a backend at `now`, strictly between 0 and 1. The slots of the proxies are
+    /// evenly spaced, and shifted by the backend's id.
+    pub fn slot(&self, backend: BackendId, now: Time) -> f64 {
         let periods_passed = now.0 / self.period.0.max(1);
-        let place = backend.0.wrapping_add(self.proxy_index).wrapping_add(periods_passed) % self.proxy_count;
-        (place as f64 + 0.5) / self.proxy_count as f64
+        let slot = backend.0.wrapping_add(self.proxy_index).wrapping_add(periods_passed) % self.proxy_count;
+        (slot as f64 + 0.5) / self.proxy_count as f64
     }
 }
--- a/src/balancer/share_update.rs
+++ b/src/balancer/share_update.rs
@@ -1,5 +1,5 @@
-//! The periodic update of every backend's readiness and traffic share, from what was learned since the last
-//! one.
+//! The periodic update of the readiness and traffic share of every backend, from the outcomes and list
+//! updates since the last one.
 
 use super::concurrency_limit::IN_FLIGHT_PER_BACKEND;
 use super::halb::{halb_shares, KindCapacity};
@@ -9,11 +9,12 @@
 use crate::config::Config;
 use crate::units::Time;
 
-/// Guards a division by a weight.
-const LEAST_WEIGHT: f64 = 1e-9;
+/// Lower bound of a divisor, against division by zero.
+const MIN_WEIGHT: f64 = 1e-9;
 
 impl Balancer {
-    /// Updates the readiness of every backend, the speed and share of every kind, and what follows from them.
+    /// Updates the readiness of every backend, the service rate and share of every kind, the subsets, and the
+    /// traffic shares and concurrency limits that follow from them.
     pub(super) fn update_shares(&mut self, now: Time) {
         let elapsed_secs = (now - self.updated_at).secs();
         self.updated_at = now;
@@ -23,9 +24,14 @@
         self.admitted_rate.add(now, 0.0);
         let proxy_rate = self.admitted_rate.per_second();
         let fleet_rate = proxy_rate.map(|rate| rate * f64::from(self.config.proxy_count));
-        speed_estimation::update_speeds(&mut self.fleet, elapsed_secs, fleet_rate, self.update_interval);
+        speed_estimation::update_service_rates(
+            &mut self.fleet,
+            elapsed_secs,
+            fleet_rate,
+            self.update_interval,
+        );
         self.update_kind_shares(fleet_rate.filter(|_| self.classes.has_latency()));
-        subset::place_subsets(&self.config, now, &mut self.fleet);
+        subset::update_subsets(&self.config, now, &mut self.fleet);
         traffic_allocation::allocate(
             &self.config,
             now,
@@ -36,7 +42,7 @@
         );
     }
 
-    /// Sets the readiness of every backend, and sums it up by kind.
+    /// Updates the readiness of every backend and its sum over each kind.
     fn update_readiness(&mut self, now: Time) {
         for kind in self.fleet.kinds.values_mut() {
             kind.total_readiness = 0.0;
@@ -53,12 +59,14 @@
         }
     }
 
+    /// Sets the HALB share of every kind. `fleet_rate` is the arrival rate over all proxies, in requests per
+    /// second; `None` until it and some latency are known.
     fn update_kind_shares(&mut self, fleet_rate: Option<f64>) {
         let kinds = self.fleet.kinds.values();
         let capacities: Vec<KindCapacity> = kinds
             .map(|kind| KindCapacity {
                 backends: kind.total_readiness,
-                speed: kind.speed.requests_per_second(),
+                service_rate: kind.speed.requests_per_second(),
             })
             .collect();
         let shares = halb_shares(&capacities, fleet_rate);
@@ -68,14 +76,17 @@
     }
 }
 
-/// Where list weights report load, the part of its equal share that a loaded backend keeps. The weight of an
-/// idle backend falls to 1 / (1 + requests in flight for each core). Up to half of the usual number in flight
-/// it keeps all; past that its part falls with the square, so that slow ones empty. A lightly loaded one
-/// gains nothing: all proxies see the same late reports and would send to the lightest together.
+/// The factor from 0 to 1 by which the reported load of a backend reduces its readiness; 1 if the list's
+/// weights do not report load.
+///
+/// With k requests in flight per core, the list reports 1 / (1 + k) of the weight of an idle backend. Up to
+/// `IN_FLIGHT_PER_BACKEND / 2` requests per core the factor is 1; above that it falls with the square of the
+/// weight, so that slow backends can drain their requests. A lightly loaded backend gets no more than its
+/// share: all proxies see the same delayed reports and would send to the least loaded backend at once.
 fn reported_load_factor(config: &Config, record: &Backend, idle_weight: f64) -> f64 {
     if !config.live_weights {
         return 1.0;
     }
-    let spare = record.weight / idle_weight.max(LEAST_WEIGHT);
-    (spare * (1.0 + IN_FLIGHT_PER_BACKEND / 2.0)).clamp(0.0, 1.0).powi(2)
+    let relative_weight = record.weight / idle_weight.max(MIN_WEIGHT);
+    (relative_weight * (1.0 + IN_FLIGHT_PER_BACKEND / 2.0)).clamp(0.0, 1.0).powi(2)
 }
--- a/src/balancer/subset.rs
+++ b/src/balancer/subset.rs
@@ -1,9 +1,13 @@
-//! The deterministic subset: which backends does a proxy use, when a connection from every proxy would fill
-//! the connection tables of the backends? The backends of a kind form a ring, and each proxy uses those in
-//! its own stretch of it; the stretches follow from the endpoint list and the proxies' indices alone, so that
-//! they fit together without communication between proxies.
+//! Deterministic subsetting: each proxy uses only some backends of each kind, because connections from every
+//! proxy would fill the connection tables of the backends.
 //!
-//! With 100 proxies, a stretch of 8 / 100 of the ring each puts 8 proxies on every backend.
+//! The backends of a kind form a ring of length 1, on which each has an arc in proportion to its warm
+//! fraction. A proxy's subset is an arc of the ring too: the backends that it overlaps, each by the
+//! overlapped fraction. Start and width of the arc are fractions of the ring, computed from the endpoint
+//! list, the proxy index and the proxy count alone, so that the subsets of all proxies fit together without
+//! communication.
+//!
+//! With 100 proxies, an arc of 8 / 100 of the ring per proxy puts 8 proxies on every backend.
 
 use super::concurrency_limit::IN_FLIGHT_PER_BACKEND;
 use super::fleet::{Fleet, TrackedBackend};
@@ -12,92 +16,90 @@
 use crate::units::{KindId, Time};
 use std::collections::BTreeMap;
 
-/// Proxies that use one backend: twice the attempts in flight there, since a proxy keeps its connection
-/// between attempts, and for a while after its subset has moved on.
+/// Number of proxies that use one backend: twice the attempts in flight there, since a proxy keeps its
+/// connection open between attempts, and for some time after its subset has changed.
 const PROXIES_PER_BACKEND: f64 = 2.0 * IN_FLIGHT_PER_BACKEND;
-/// Least number of proxies that use one backend in a very large fleet: with fewer, backends are loaded
-/// unevenly.
+/// Minimum number of proxies that use one backend in a very large fleet: with fewer, the load of the backends
+/// is uneven.
 const MIN_PROXIES_PER_BACKEND: f64 = 5.0;
-/// Fleets up to this many proxies use [`PROXIES_PER_BACKEND`], whatever connections that costs: with fewer
-/// proxies on a warming backend, the limit that they share out would fall into few large parts.
-const UNREDUCED_FLEET: f64 = 100.0;
-/// Backends of a kind in a subset at most, as long as enough proxies use each backend: each costs a
-/// connection, and another one when it is replaced or the subset moves.
+/// Number of proxies up to which [`PROXIES_PER_BACKEND`] is not reduced, whatever the number of connections:
+/// with fewer proxies on a warming backend, each one's fraction of its limit would be too large.
+const MAX_UNREDUCED_PROXIES: f64 = 100.0;
+/// Target maximum of backends of a kind in a subset, as long as enough proxies use each backend: each needs a
+/// connection, and another one when it is replaced or the subset changes.
 const MAX_BACKENDS_PER_KIND: f64 = 10.0;
-/// Backends of a kind in a subset at least: one may be an outlier and another busy.
+/// Minimum number of backends of a kind in a subset: one may be an outlier and another busy.
 const MIN_BACKENDS_PER_KIND: f64 = 3.0;
-/// The stretches begin at multiples of the golden ratio: any run of consecutive proxies is spread evenly over
-/// the ring, also while others of the fleet are down.
+/// The arcs of the proxies start at multiples of the golden ratio, modulo 1. Any run of consecutive proxy
+/// indices is then spread evenly over the ring, also while the other proxies are down.
 const GOLDEN_RATIO_FRACTION: f64 = 0.618_033_988_749_895;
-/// Guards divisions by the length of a ring, an arc or what a subset covers.
+/// Lower bound of the divisors, against division by zero.
 const EPSILON: f64 = 1e-12;
 
 /// How the subsets of all proxies cover a backend.
 #[derive(Default)]
 pub(super) struct SubsetCoverage {
-    /// Part of it inside this proxy's subset.
-    own: f64,
-    /// Sum of its parts inside the subsets of all proxies.
-    total: f64,
-    /// How many subsets contain some part of it.
-    users: f64,
+    own_fraction: f64,
+    total_fraction: f64,
+    proxy_count: f64,
 }
 
 impl SubsetCoverage {
-    /// Every proxy uses the whole backend.
-    fn everywhere(proxy_count: f64) -> SubsetCoverage {
-        SubsetCoverage { own: 1.0, total: proxy_count, users: proxy_count }
+    /// The coverage of a backend that every proxy uses as a whole.
+    fn by_all_proxies(count: f64) -> SubsetCoverage {
+        SubsetCoverage { own_fraction: 1.0, total_fraction: count, proxy_count: count }
     }
 
     pub fn is_in_subset(&self) -> bool {
-        self.own > 0.0
+        self.own_fraction > 0.0
     }
 
-    /// Part of the backend inside this proxy's subset, from 0 to 1.
-    pub fn own(&self) -> f64 {
-        self.own
+    /// Fraction of the backend inside this proxy's subset, from 0 to 1.
+    pub fn own_fraction(&self) -> f64 {
+        self.own_fraction
     }
 
-    /// Sum of the backend's parts inside the subsets of all proxies.
-    pub fn total(&self) -> f64 {
-        self.total
+    /// Sum over all proxies of the fraction of the backend inside their subsets.
+    pub fn total_fraction(&self) -> f64 {
+        self.total_fraction
     }
 
-    /// Proxies that use the backend.
-    pub fn users(&self) -> f64 {
-        self.users
+    /// Number of proxies whose subsets contain a fraction of the backend.
+    pub fn proxy_count(&self) -> f64 {
+        self.proxy_count
     }
 }
 
 /// This proxy's subset of a kind.
 #[derive(Default)]
 pub(super) struct KindSubset {
-    /// Part of the ring that it covers.
     width: f64,
-    /// How many times its equal part of the kind's traffic a covered backend receives from this proxy.
     share_multiplier: f64,
 }
 
 impl KindSubset {
-    /// All backends of the kind.
-    fn everything() -> KindSubset {
+    /// The subset that contains all backends of the kind.
+    fn whole_kind() -> KindSubset {
         KindSubset { width: 1.0, share_multiplier: 1.0 }
     }
 
+    /// Fraction of the kind's ring inside the subset, from 0 to 1.
     pub fn width(&self) -> f64 {
         self.width
     }
 
+    /// Factor by which a covered backend receives more of this proxy's traffic than it would if the proxy
+    /// used every backend of the kind.
     pub fn share_multiplier(&self) -> f64 {
         self.share_multiplier
     }
 
-    pub fn is_everything(&self) -> bool {
+    pub fn is_whole_kind(&self) -> bool {
         self.width >= 1.0
     }
 }
 
-/// A stretch of a ring of length 1.
+/// An arc of a ring of length 1.
 #[derive(Clone, Copy)]
 struct Arc {
     start: f64,
@@ -105,66 +107,68 @@
 }
 
 impl Arc {
-    /// The part of it inside a subset, which may cross the ring's origin.
-    fn part_inside(self, subset_start: f64, width: f64) -> f64 {
-        let shared = |start: f64| (self.end.min(start + width) - self.start.max(start)).max(0.0);
-        let covered = shared(subset_start) + shared(subset_start - 1.0);
+    /// Fraction of the arc inside a subset, which may extend past the end of the ring to its origin.
+    fn fraction_inside(self, subset_start: f64, width: f64) -> f64 {
+        let overlap = |start: f64| (self.end.min(start + width) - self.start.max(start)).max(0.0);
+        let covered = overlap(subset_start) + overlap(subset_start - 1.0);
         (covered / (self.end - self.start).max(EPSILON)).min(1.0)
     }
 
-    /// How the subsets of all proxies cover it, counted one by one.
-    fn coverage(self, own: f64, width: f64, proxy_count: u32) -> SubsetCoverage {
-        let mut coverage = SubsetCoverage { own, total: 0.0, users: 0.0 };
+    /// The exact coverage of the arc, from the subset of every proxy.
+    fn coverage(self, own_fraction: f64, width: f64, proxy_count: u32) -> SubsetCoverage {
+        let mut coverage = SubsetCoverage { own_fraction, total_fraction: 0.0, proxy_count: 0.0 };
         for proxy_index in 0..proxy_count {
-            let part = self.part_inside(subset_start(proxy_index), width);
-            if part > 0.0 {
-                coverage.total += part;
-                coverage.users += 1.0;
+            let fraction = self.fraction_inside(subset_start(proxy_index), width);
+            if fraction > 0.0 {
+                coverage.total_fraction += fraction;
+                coverage.proxy_count += 1.0;
             }
         }
         coverage
     }
 }
 
+/// Where the subset of a proxy starts on every ring, from 0 to 1.
 fn subset_start(proxy_index: u32) -> f64 {
     (f64::from(proxy_index) * GOLDEN_RATIO_FRACTION).fract()
 }
 
-/// A backend on its kind's ring; its arc is as long as the backend is warm.
+/// A backend on its kind's ring. The length of its arc, before the ring is scaled to 1, is its warm fraction.
 struct RingMember<'a> {
     length: f64,
     backend: &'a mut TrackedBackend,
 }
 
-/// The size of all proxies' subsets of one kind. Proxies per backend fall from 8 towards 5 as the fleet grows
-/// past 100 proxies, as far as [`MAX_BACKENDS_PER_KIND`] asks for it; no subset has fewer than
-/// [`MIN_BACKENDS_PER_KIND`] backends.
+/// The size of the subsets of one kind, equal for all proxies. The number of proxies per backend falls from 8
+/// towards 5 as the fleet grows past 100 proxies, but only as far as [`MAX_BACKENDS_PER_KIND`] requires. No
+/// subset has fewer than [`MIN_BACKENDS_PER_KIND`] backends.
 struct SubsetSize {
     proxies_per_backend: f64,
-    /// Part of the ring.
+    /// Fraction of the ring in each subset.
     width: f64,
 }
 
 impl SubsetSize {
     fn of(proxy_count: f64, backend_count: f64) -> SubsetSize {
-        let reduction = (UNREDUCED_FLEET / proxy_count).min(1.0);
+        let reduction = (MAX_UNREDUCED_PROXIES / proxy_count).min(1.0);
         let reducible = PROXIES_PER_BACKEND - MIN_PROXIES_PER_BACKEND;
-        let least = MIN_PROXIES_PER_BACKEND + reducible * reduction;
+        let min_proxies = MIN_PROXIES_PER_BACKEND + reducible * reduction;
         let wanted = MAX_BACKENDS_PER_KIND * proxy_count / backend_count.max(1.0);
-        let proxies_per_backend = wanted.clamp(least, PROXIES_PER_BACKEND);
-        let least_width = MIN_BACKENDS_PER_KIND / backend_count.max(1.0);
-        let width = (proxies_per_backend / proxy_count).max(least_width).min(1.0);
+        let proxies_per_backend = wanted.clamp(min_proxies, PROXIES_PER_BACKEND);
+        let min_width = MIN_BACKENDS_PER_KIND / backend_count.max(1.0);
+        let width = (proxies_per_backend / proxy_count).max(min_width).min(1.0);
         SubsetSize { proxies_per_backend, width }
     }
 
-    /// Fewer proxies than usual use each backend, so that their number differs more from one to the next.
+    /// Whether fewer than [`PROXIES_PER_BACKEND`] proxies use each backend on average. Their number then
+    /// varies more between backends.
     fn is_reduced(&self) -> bool {
         self.proxies_per_backend < PROXIES_PER_BACKEND
     }
 }
 
-/// Places this proxy's subset of every kind and notes how the subsets cover each backend.
-pub(super) fn place_subsets(config: &Config, now: Time, fleet: &mut Fleet) {
+/// Computes this proxy's subset of every kind, and how the subsets of all proxies cover each backend.
+pub(super) fn update_subsets(config: &Config, now: Time, fleet: &mut Fleet) {
     let mut rings: BTreeMap<KindId, Vec<RingMember>> = BTreeMap::new();
     for backend in fleet.backends.values_mut() {
         let length = arc_length(config, now, backend);
@@ -172,7 +176,7 @@
     }
     for (kind, mut ring) in rings {
         let kind = fleet.kinds.entry(kind).or_default();
-        kind.subset = place_subset(config, &mut ring, kind.total_readiness);
+        kind.subset = update_subset(config, &mut ring, kind.total_readiness);
     }
 }
 
@@ -184,42 +188,44 @@
     }
 }
 
-fn place_subset(config: &Config, ring: &mut [RingMember], total_readiness: f64) -> KindSubset {
+fn update_subset(config: &Config, ring: &mut [RingMember], total_readiness: f64) -> KindSubset {
     let proxy_count = f64::from(config.proxy_count);
     let backend_count = ring.iter().filter(|member| member.length > 0.0).count() as f64;
     let size = SubsetSize::of(proxy_count, backend_count);
-    let covered_backends = cover(config, ring, &size);
+    let covered_backends = update_coverage(config, ring, &size);
     if covered_backends > 0.0 {
         let share_multiplier = total_readiness / covered_backends.max(EPSILON);
         return KindSubset { width: size.width, share_multiplier };
     }
-    // Nothing in the subset can be used: any other backend of the kind is better than none.
+    // No backend in the subset is usable: fall back to all backends of the kind.
     for member in ring {
-        member.backend.coverage = SubsetCoverage::everywhere(proxy_count);
+        member.backend.coverage = SubsetCoverage::by_all_proxies(proxy_count);
     }
-    KindSubset::everything()
+    KindSubset::whole_kind()
 }
 
-/// Sets the coverage of every backend on the ring; returns how many ready backends this proxy's subset
-/// covers.
-fn cover(config: &Config, ring: &mut [RingMember], size: &SubsetSize) -> f64 {
+/// Sets the coverage of every backend on the ring. Returns the readiness inside this proxy's subset: the sum
+/// of each backend's readiness times the covered fraction.
+fn update_coverage(config: &Config, ring: &mut [RingMember], size: &SubsetSize) -> f64 {
     let ring_length: f64 = ring.iter().map(|member| member.length).sum();
     let own_start = subset_start(config.proxy_index);
-    let mean_users = size.width * f64::from(config.proxy_count);
+    let mean_proxies = size.width * f64::from(config.proxy_count);
     let mut start = 0.0;
     let mut covered_backends = 0.0;
     for member in ring {
         let arc = Arc { start, end: start + member.length / ring_length.max(EPSILON) };
-        let own = if size.width < 1.0 { arc.part_inside(own_start, size.width) } else { 1.0 };
-        let mut coverage = SubsetCoverage { own, total: mean_users, users: mean_users };
-        if size.is_reduced() && own > 0.0 && member.length < 1.0 {
-            // The limit of a warming backend is shared out among those that really use it.
-            let counted = arc.coverage(own, size.width, config.proxy_count);
-            coverage.total = coverage.total.max(counted.total);
-            coverage.users = coverage.users.max(counted.users);
+        let own_fraction = if size.width < 1.0 { arc.fraction_inside(own_start, size.width) } else { 1.0 };
+        let mut coverage =
+            SubsetCoverage { own_fraction, total_fraction: mean_proxies, proxy_count: mean_proxies };
+        if size.is_reduced() && own_fraction > 0.0 && member.length < 1.0 {
+            // The limit of a warming backend is divided among the proxies that use it, so their exact number
+            // matters.
+            let exact = arc.coverage(own_fraction, size.width, config.proxy_count);
+            coverage.total_fraction = coverage.total_fraction.max(exact.total_fraction);
+            coverage.proxy_count = coverage.proxy_count.max(exact.proxy_count);
         }
         member.backend.coverage = coverage;
-        covered_backends += member.backend.readiness * own;
+        covered_backends += member.backend.readiness * own_fraction;
         start = arc.end;
     }
     covered_backends
--- a/src/balancer/traffic_allocation.rs
+++ b/src/balancer/traffic_allocation.rs
@@ -1,5 +1,8 @@
-//! Traffic allocation: from the readiness of backends and the HALB share of their kinds to the part of this
-//! proxy's traffic that each backend receives, and the attempts that may be in flight there.
+//! Traffic allocation: computes the share of this proxy's traffic that each backend receives, and the number
+//! of attempts that may be in flight there.
+//!
+//! Both follow from the readiness of the backends, the HALB shares of their kinds, the proxy's subset, zone
+//! preference and slow start. Shares are fractions of the traffic from 0 to 1.
 
 use super::concurrency_limit::ProxyLimit;
 use super::fleet::{Fleet, TrackedBackend, TrackedKind};
@@ -9,28 +12,31 @@
 use crate::config::Config;
 use crate::units::{BackendId, Micros, Time};
 
-/// The proxies' parts of a concurrency limit rotate this often: long beside any request.
+/// Period after which the rounding of the proxies' fractions of a concurrency limit rotates: longer than any
+/// request.
 const CONCURRENCY_ROTATION_PERIOD: Micros = Micros(5_000_000);
-/// Share that every usable backend has: it takes the overflow where all others are at their limits.
-const TRACE_SHARE: f64 = 1e-6;
-/// Guards divisions by the coverage of a backend.
-const LEAST_COVERAGE: f64 = 1e-6;
+/// Added to the traffic share of every usable backend, in proportion to its readiness, so that it can receive
+/// traffic if all others are at their limits.
+const MIN_TRAFFIC_SHARE: f64 = 1e-6;
+/// Lower bound of a backend's coverage, against division by zero.
+const MIN_COVERAGE: f64 = 1e-6;
 
-/// Draws a backend of one kind in proportion to the traffic shares.
+/// Cumulative traffic shares of the usable backends of one kind, from which a backend is selected with a
+/// probability proportional to its share.
 #[derive(Default)]
-pub(super) struct PickTable {
+pub(super) struct SelectionTable {
     total: f64,
-    entries: Vec<PickEntry>,
+    entries: Vec<SelectionEntry>,
 }
 
-struct PickEntry {
+struct SelectionEntry {
     backend: BackendId,
-    /// Its traffic share and those before it, added up.
+    /// Sum of its traffic share and those of the entries before it.
     cumulative_share: f64,
 }
 
-impl PickTable {
-    /// Part of this proxy's traffic that the kind receives.
+impl SelectionTable {
+    /// Fraction of this proxy's traffic that the kind receives.
     pub fn total(&self) -> f64 {
         self.total
     }
@@ -42,37 +48,42 @@
 
     fn push(&mut self, backend: BackendId, share: f64) {
         self.total += share;
-        self.entries.push(PickEntry { backend, cumulative_share: self.total });
+        self.entries.push(SelectionEntry { backend, cumulative_share: self.total });
     }
 
-    /// The backend at a point of the shares, from 0 to 1.
+    /// Returns the backend at `point`, a random number from 0 to 1 that is scaled to the total share; `None`
+    /// if the table is empty.
     pub fn pick(&self, point: f64) -> Option<BackendId> {
-        let reached = self.entries.partition_point(|entry| entry.cumulative_share <= point * self.total);
-        self.entries.get(reached).or(self.entries.last()).map(|entry| entry.backend)
+        let index = self.entries.partition_point(|entry| entry.cumulative_share <= point * self.total);
+        self.entries.get(index).or(self.entries.last()).map(|entry| entry.backend)
     }
 }
 
-/// What a backend may receive.
-struct Bounds {
-    /// Part of the traffic of all proxies that it is to receive.
+/// Inputs of a backend's traffic share and concurrency limit.
+struct AllocationInputs {
+    /// Fraction of the traffic of all proxies that it would receive without subsets, zones and slow start.
     fair_share: f64,
-    /// Part of the traffic of all proxies that its slow start allows.
+    /// Maximum fraction of the traffic of all proxies that its slow start allows.
     max_fleet_share: f64,
-    /// This proxy's place in the rotation, from 0 to 1.
-    rotation_position: f64,
+    /// This proxy's slot in the rotation, from 0 to 1.
+    rotation_slot: f64,
 }
 
-impl Bounds {
-    fn of(slow_start: &SlowStart, rotation: &Rotation, backend: &TrackedBackend) -> Bounds {
-        Bounds {
+impl AllocationInputs {
+    fn of(slow_start: &SlowStart, rotation: &Rotation, backend: &TrackedBackend) -> AllocationInputs {
+        AllocationInputs {
             fair_share: slow_start.fleet.fair_share(backend),
             max_fleet_share: slow_start.max_fleet_share(backend),
-            rotation_position: rotation.position(backend.record.id, slow_start.now),
+            rotation_slot: rotation.slot(backend.record.id, slow_start.now),
         }
     }
 }
 
-/// Sets every backend's traffic share and concurrency limit, and the limit of this proxy.
+/// Sets the traffic share and concurrency limit of every backend, the selection table of every kind, and the
+/// limit on all attempts of this proxy.
+///
+/// `proxy_rate` is the number of admitted requests per second at this proxy, `expected_work_secs` the mean
+/// work of a request in seconds; both are `None` until known.
 pub(super) fn allocate(
     config: &Config, now: Time, fleet: &mut Fleet, proxy_rate: Option<f64>, expected_work_secs: Option<f64>,
     proxy_limit: &mut ProxyLimit,
@@ -84,31 +95,36 @@
     let zones = ZonePreference::new(config, fleet);
     let rotation = Rotation::new(config, CONCURRENCY_ROTATION_PERIOD);
     let slow_start = SlowStart { config, fleet, now, proxy_rate };
-    let bounds: Vec<Bounds> =
-        fleet.backends.values().map(|backend| Bounds::of(&slow_start, &rotation, backend)).collect();
+    let inputs: Vec<AllocationInputs> = fleet
+        .backends
+        .values()
+        .map(|backend| AllocationInputs::of(&slow_start, &rotation, backend))
+        .collect();
     fleet.kinds.values_mut().for_each(|kind| kind.picks.clear());
-    for ((&id, backend), bounds) in fleet.backends.iter_mut().zip(bounds) {
+    for ((&id, backend), inputs) in fleet.backends.iter_mut().zip(inputs) {
         let kind = fleet.kinds.entry(backend.record.kind).or_default();
         let zone_factor = zones.factor(backend.record.zone);
-        let equal_part = fleet_limit(backend) / (proxy_count * kind.subset.width());
-        backend.concurrency.set_own(equal_part, zone_factor, bounds.rotation_position);
-        backend.traffic_share = traffic_share(backend, kind, zone_factor, proxy_count, &bounds);
+        let equal_share = fleet_limit(backend) / (proxy_count * kind.subset.width());
+        backend.concurrency.set_own(equal_share, zone_factor, inputs.rotation_slot);
+        backend.traffic_share = traffic_share(backend, kind, zone_factor, proxy_count, &inputs);
         if backend.readiness > 0.0 {
             kind.picks.push(id, backend.traffic_share);
         }
     }
 }
 
-/// The part of this proxy's traffic for a backend: its fair share, by zone preference, times what a backend
-/// of the subset takes over from those outside it. At most this proxy's part of what slow start allows all
-/// proxies: each one's part is in proportion to how much of the backend its subset covers.
+/// The fraction of this proxy's traffic that a backend receives: its fair share, scaled by zone preference,
+/// by the covered fraction and by the subset's share multiplier. It is at most this proxy's portion of what
+/// slow start allows all proxies, which is divided in proportion to how much of the backend each subset
+/// covers.
 fn traffic_share(
-    backend: &TrackedBackend, kind: &TrackedKind, zone_factor: f64, proxy_count: f64, bounds: &Bounds,
+    backend: &TrackedBackend, kind: &TrackedKind, zone_factor: f64, proxy_count: f64,
+    inputs: &AllocationInputs,
 ) -> f64 {
     let coverage = &backend.coverage;
-    let wanted = bounds.fair_share * zone_factor * coverage.own() * kind.subset.share_multiplier();
-    let wanted = wanted + backend.readiness * TRACE_SHARE;
-    let own = coverage.own().max(LEAST_COVERAGE);
-    let total = coverage.total().max(LEAST_COVERAGE);
-    wanted.min(bounds.max_fleet_share * own * proxy_count / total)
+    let target = inputs.fair_share * zone_factor * coverage.own_fraction() * kind.subset.share_multiplier();
+    let target = target + backend.readiness * MIN_TRAFFIC_SHARE;
+    let own_fraction = coverage.own_fraction().max(MIN_COVERAGE);
+    let total_fraction = coverage.total_fraction().max(MIN_COVERAGE);
+    target.min(inputs.max_fleet_share * own_fraction * proxy_count / total_fraction)
 }
--- a/src/balancer/wakeup.rs
+++ b/src/balancer/wakeup.rs
@@ -1,13 +1,15 @@
-//! The one timer of the balancer: the earliest time at which something is due without an event.
+//! The balancer's only timer: set for the earliest time at which work is due without another event.
 
 use crate::action::Action;
 use crate::units::{Micros, Time, TimerToken};
 
-/// When to look next, and the timer that the host was asked for.
+/// The time of the next wake-up, and the timer that the host was asked to set.
 pub(super) struct Wakeup {
+    /// Time of the next wake-up; [`Time::NEVER`] if none is scheduled.
     due: Time,
+    /// Token of the last timer that was set.
     token: TimerToken,
-    /// When the timer with that token fires; `None` once it has.
+    /// The wake-up for which that timer was set; `None` after it has fired.
     pending: Option<Time>,
 }
 
@@ -16,12 +18,13 @@
         Wakeup { due: Time(0), token: TimerToken(0), pending: None }
     }
 
-    /// Schedules a wake-up at that time or sooner.
+    /// Schedules a wake-up at `at`, or keeps an earlier one.
     pub fn schedule(&mut self, at: Time) {
         self.due = self.due.min(at);
     }
 
-    /// Whether a wake-up is due now. It clears the schedule: every rule that still waits schedules again.
+    /// Returns whether a wake-up is due now, and if so clears the schedule: all due work schedules its next
+    /// wake-up again.
     pub fn take_due(&mut self, now: Time) -> bool {
         let is_due = now >= self.due;
         if is_due {
@@ -30,7 +33,7 @@
         is_due
     }
 
-    /// A timer has fired; false for one that another has replaced.
+    /// Records that a timer has fired. Returns false for a timer that a later one has replaced.
     pub fn timer_fired(&mut self, token: TimerToken) -> bool {
         let is_current = token == self.token;
         if is_current {
@@ -39,7 +42,7 @@
         is_current
     }
 
-    /// Asks for a timer where none fires in time, no sooner than a tick from now.
+    /// Sets a timer if none is pending that fires by the next wake-up. The delay is at least one tick.
     pub fn set_timer(&mut self, now: Time, tick: Micros, actions: &mut Vec<Action>) {
         let is_covered = self.pending.is_some_and(|pending| self.due >= pending);
         if is_covered || self.due == Time::NEVER {
--- a/src/config.rs
+++ b/src/config.rs
@@ -2,52 +2,55 @@
 
 use crate::units::{ClassId, Micros, TenantId, ZoneId};
 
-/// The configuration of a balancer; [`Event::ConfigReplaced`](crate::Event::ConfigReplaced)
-/// replaces it.
+/// The configuration of a balancer, replaced at run time by
+/// [`Event::ConfigReplaced`](crate::Event::ConfigReplaced).
 #[derive(Clone, Debug, PartialEq)]
 pub struct Config {
-    /// How many proxies share the traffic, this one included.
+    /// Number of proxies that share the traffic, this one included; at least 1.
     pub proxy_count: u32,
-    /// Which of them this one is, from 0.
+    /// Index of this proxy, from 0 up to `proxy_count` - 1.
     pub proxy_index: u32,
-    /// The proxy's own zone.
+    /// The network zone in which this proxy runs.
     pub local_zone: ZoneId,
-    /// The classes of requests.
+    /// The classes of requests, indexed by [`ClassId`]; at least one.
     pub classes: Vec<Class>,
-    /// The tenants; may be empty.
+    /// The tenants, indexed by [`TenantId`]; may be empty.
     pub tenants: Vec<Tenant>,
-    /// Weight of a request past its tenant's quota, as a part of its class's weight.
+    /// Weight of a request over its tenant's quota, as a fraction of its class's `priority_weight`.
     pub over_quota_weight: f64,
-    /// What the operator's goal puts on the whole of the traffic, from 0 to 1.
+    /// Weight of the whole traffic in the operator's goal, from 0 to 1.
     pub overall_goal_weight: f64,
-    /// What the operator's goal puts on the class that is served worst, from 0 to 1.
+    /// Weight of the class that is served worst in the operator's goal, from 0 to 1.
     pub worst_class_goal_weight: f64,
-    /// What it costs the goal when every request crosses zones once; only whether it is above 0 counts.
+    /// Cost to the operator's goal if every request crosses zones once. Only used to tell whether it is above
+    /// 0, which turns on zone preference.
     pub cross_zone_cost: f64,
-    /// Where the endpoint list comes from.
+    /// How the endpoint list reaches the balancer.
     pub discovery: DiscoveryMode,
-    /// The list's weights are nominal size / (1 + requests in flight for each core), as of a while ago.
+    /// Whether the list's weights report load: nominal size / (1 + requests in flight per core), with a
+    /// delay.
     pub live_weights: bool,
-    /// Attempts allowed for a request.
+    /// Maximum number of attempts per request, the first included; at least 1.
     pub max_attempts: u32,
-    /// Attempts may be cancelled.
+    /// Whether attempts may be cancelled.
     pub can_cancel: bool,
-    /// Two attempts of one request may be in flight at once.
+    /// Whether two attempts of one request may be in flight at once.
     pub hedging_allowed: bool,
-    /// The least time between two rounds of events.
+    /// Minimum time between two rounds of events, and so the shortest timer; above 0.
     pub tick: Micros,
-    /// Part of its capacity that a backend has at least when it starts, from 0 to 1.
+    /// Minimum fraction of its capacity that a backend has when it starts, from 0 to 1.
     pub slow_start_initial_fraction: f64,
-    /// A backend is warm after this time at most.
+    /// Maximum duration of a backend's slow start, over all kinds.
     pub slow_start_duration: Micros,
-    /// A warming backend that receives more than this multiple of its present capacity ...
+    /// A warming backend fails if it receives more than this multiple of its current capacity within
+    /// `overload_window`; above 0.
     pub overload_multiple: f64,
-    /// ... over this time is overloaded and fails.
+    /// The window over which the load of a warming backend is compared with its capacity.
     pub overload_window: Micros,
 }
 
 impl Config {
-    /// A small sound configuration: one zone, three proxies, one idempotent class.
+    /// A small valid configuration: one zone, three proxies, one idempotent class.
     pub fn example() -> Config {
         Config {
             proxy_count: 3,
@@ -78,12 +81,12 @@
         }
     }
 
-    /// The proxy's index as a part of the proxy count, from 0 up to 1.
+    /// The proxy's index divided by the proxy count: at least 0 and below 1.
     pub fn fleet_position(&self) -> f64 {
         f64::from(self.proxy_index) / f64::from(self.proxy_count)
     }
 
-    /// Fails with the first field that is out of its range.
+    /// Checks the range of every field; fails with the first that is out of range.
     pub fn validate(&self) -> Result<(), ConfigError> {
         let tenants = &self.tenants;
         require(self.proxy_count > 0, "proxy_count", "at least 1")?;
@@ -140,84 +143,84 @@
     value >= 0.0 && value.is_finite()
 }
 
-/// A class of requests.
+/// A class of requests and its service-level objective.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// An answer within this time earns the full weight.
+    /// A request served within this time earns its full weight; above 0.
     pub latency_objective: Micros,
-    /// The objective grows by this multiple of the request's expected work.
+    /// The latency objective of a request is extended by this multiple of its expected work; at least 0.
     pub objective_per_work: f64,
-    /// What a second execution would do.
+    /// Whether a request may be executed twice.
     pub idempotency: Idempotency,
-    /// What serving a request is worth.
+    /// Weight of a request that is served on time; finite and above 0.
     pub priority_weight: f64,
-    /// The part of the weight left after the objective, from 0 to 1.
+    /// Fraction of the weight that a request served after its objective earns, from 0 to 1.
     pub late_weight_fraction: f64,
 }
 
-/// What executing a request twice would do.
+/// Whether a request may be executed twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Nothing: it may be retried and rejected at will.
+    /// A second execution has no effect: the request may always be retried, and rejected after an attempt.
     Idempotent,
-    /// Nothing among backends that know its idempotency key.
+    /// Backends that have seen the request's idempotency key discard duplicates.
     Keyed {
-        /// The backends that discard each other's duplicates.
+        /// The backends that share the keys they have seen.
         scope: IdempotencyScope,
-        /// How long they do, from the first attempt that was sent.
+        /// How long they discard duplicates, counted from the first attempt that was sent.
         window: Micros,
     },
-    /// Harm.
+    /// A second execution may do harm: the request must not be retried once it may have been executed.
     NonIdempotent,
 }
 
-/// Which backends discard each other's duplicates.
+/// Which backends share the idempotency keys they have seen, and so discard each other's duplicates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IdempotencyScope {
-    /// All of them.
+    /// All backends.
     All,
-    /// Those of one zone.
+    /// The backends of a zone.
     Zone,
-    /// Those of one cell.
+    /// The backends of a cell.
     Cell,
 }
 
-/// A tenant.
+/// A tenant and its quota.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Requests a second, over all proxies, that earn full weight.
+    /// Requests per second, over all proxies, that earn their full weight; finite and at least 0.
     pub quota_per_second: f64,
 }
 
-/// Where the endpoint list comes from.
+/// How the endpoint list reaches the balancer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoveryMode {
-    /// Changes arrive unasked.
+    /// Changes arrive without a call.
     Push,
-    /// Changes arrive after [`Action::Resubscribe`](crate::Action::Resubscribe). The poll interval: a proxy
-    /// that has not called for this long counts as notified of every change.
+    /// Changes arrive after [`Action::Resubscribe`](crate::Action::Resubscribe). The value is the poll
+    /// interval: a proxy that has not called for this long counts as notified of every change.
     Subscribe(Micros),
 }
 
-/// Another configuration, and which of its classes and tenants were there before: a number says nothing of
-/// that.
+/// A new configuration, and how its classes and tenants relate to those of the active one: the indices alone
+/// do not tell.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ConfigUpdate {
-    /// What is to be in force.
+    /// The new configuration.
     pub config: Config,
-    /// For each of its classes the number under the configuration that it replaces; what was learned of it
-    /// stays.
+    /// For each of its classes the index in the configuration that it replaces, or `None` for a new class.
+    /// The statistics of a class are kept under its new index.
     pub previous_classes: Vec<Option<ClassId>>,
-    /// The same for each of its tenants.
+    /// The same for each of its tenants and their quotas.
     pub previous_tenants: Vec<Option<TenantId>>,
 }
 
-/// Why a configuration was not accepted.
+/// A field of a configuration that is out of range.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{field}: expected {expected}")]
 pub struct ConfigError {
-    /// The field at fault.
+    /// The name of the field.
     pub field: &'static str,
-    /// What was expected of it.
+    /// The range that was expected.
     pub expected: &'static str,
 }
--- a/src/estimators/mod.rs
+++ b/src/estimators/mod.rs
@@ -1,4 +1,4 @@
-//! Running estimates of a stream of samples. Nothing here decides anything.
+//! Estimators over streams of samples: event rate, running mean and token bucket.
 
 mod rate;
 mod running_mean;
--- a/src/estimators/rate.rs
+++ b/src/estimators/rate.rs
@@ -1,13 +1,15 @@
-//! The rate of events.
+//! Exponentially weighted event rate.
 
 use crate::units::{Micros, Time};
 
 /// Time constant of a [`Rate`].
 pub(crate) const RATE_MEMORY: Micros = Micros(2_000_000);
-/// Part of [`RATE_MEMORY`] that has to be observed before there is a rate.
-const LEAST_OBSERVED_FRACTION: f64 = 1.0 / 20.0;
+/// Fraction of [`RATE_MEMORY`] that must have been observed before a rate is reported.
+const MIN_OBSERVED_FRACTION: f64 = 1.0 / 20.0;
 
-/// Events a second, exponentially weighted over [`RATE_MEMORY`] and unbiased from the start on.
+/// Rate of events per second, exponentially weighted with the time constant [`RATE_MEMORY`].
+///
+/// Events and observed time decay alike, so that the rate has no bias towards zero after the first event.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Rate {
     events: f64,
@@ -16,19 +18,19 @@
 }
 
 impl Rate {
-    /// Counts `events` at `now`; zero lets time pass.
+    /// Records `events` at `now`. With zero events it only advances the time.
     pub fn add(&mut self, now: Time, events: f64) {
-        let memory = RATE_MEMORY.secs();
+        let time_constant = RATE_MEMORY.secs();
         let elapsed = self.updated_at.map_or(0.0, |at| (now - at).secs());
-        let decay = (-elapsed / memory).exp();
+        let decay = (-elapsed / time_constant).exp();
         self.events = self.events * decay + events;
-        self.observed_secs = self.observed_secs * decay + (1.0 - decay) * memory;
+        self.observed_secs = self.observed_secs * decay + (1.0 - decay) * time_constant;
         self.updated_at = Some(now);
     }
 
-    /// Events a second; `None` while too little time was observed.
+    /// Events per second; `None` until enough time has been observed.
     pub fn per_second(&self) -> Option<f64> {
-        let observed_enough = self.observed_secs > RATE_MEMORY.secs() * LEAST_OBSERVED_FRACTION;
+        let observed_enough = self.observed_secs > RATE_MEMORY.secs() * MIN_OBSERVED_FRACTION;
         observed_enough.then(|| self.events / self.observed_secs)
     }
 }
--- a/src/estimators/token_bucket.rs
+++ b/src/estimators/token_bucket.rs
@@ -1,12 +1,12 @@
-//! A token bucket.
+//! Token bucket.
 
 use super::RATE_MEMORY;
 use crate::units::{Micros, Time};
 
-/// What a bucket holds at most, in time at its rate: a client may send that much at once.
+/// Burst size: a full bucket holds the tokens that its rate yields in this time.
 const BURST: Micros = RATE_MEMORY;
 
-/// Starts full and holds what its rate yields in [`BURST`], at least one token; a rate of 0 never grants one.
+/// A token bucket that starts full. Its capacity is what its rate yields in [`BURST`], at least one token.
 #[derive(Default)]
 pub(crate) struct TokenBucket {
     tokens: f64,
@@ -14,7 +14,8 @@
 }
 
 impl TokenBucket {
-    /// Takes a token if there is one; `rate` is its refill in tokens a second.
+    /// Takes a token if there is one. `rate` is the refill rate in tokens per second; a rate of 0 grants
+    /// none.
     pub fn take(&mut self, now: Time, rate: f64) -> bool {
         let elapsed = self.filled_at.map_or(f64::MAX, |at| (now - at).secs());
         let capacity = (rate * BURST.secs()).max(1.0);
--- a/src/event.rs
+++ b/src/event.rs
@@ -1,27 +1,28 @@
-//! What a host tells the balancer.
+//! Events: the input of the balancer.
 
 use crate::backend::{Backend, EndpointListUpdate};
 use crate::config::ConfigUpdate;
 use crate::units::{AttemptNumber, ClassId, Micros, RequestId, TenantId, Time, TimerToken};
 
-/// Something that happened.
+/// An input of the balancer: something that happened at the host.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// An endpoint list arrived, or could not be had.
+    /// Discovery delivered an endpoint list, or failed to.
     EndpointListChanged {
-        /// What the entries stand for.
+        /// Whether the entries are the whole list or its changes.
         update: EndpointListUpdate,
-        /// The entries.
+        /// The entries; empty for [`EndpointListUpdate::SubscriptionLost`].
         backends: Vec<Backend>,
     },
-    /// A client's request: it is owed one final answer.
+    /// A client's request arrived. It is pending until its one final answer.
     RequestArrived(RequestArrival),
-    /// Another configuration is in force: later events number classes and tenants by it. Requests in hand
-    /// keep the terms that they came with. One that does not [validate](crate::Config::validate) changes
-    /// nothing.
+    /// Replaces the active configuration. Later events number classes and tenants by the new one. Pending
+    /// requests keep the class settings with which they arrived. A configuration that does not
+    /// [validate](crate::Config::validate) changes nothing.
     ConfigReplaced(Box<ConfigUpdate>),
-    /// The answer has begun to stream: the attempt is the client's now and no time-out runs. Only hosts that
-    /// forward answers before their end report it.
+    /// The host has begun to stream the answer of this attempt to the client: from now on the request is
+    /// neither hedged nor given up on a time-out. Reported only by hosts that forward answers before their
+    /// end.
     ResponseStarted {
         /// The request.
         request: RequestId,
@@ -30,19 +31,20 @@
     },
     /// An attempt ended.
     AttemptEnded(AttemptResult),
-    /// The client left, or the host answered it without the balancer: no answer is owed.
+    /// The client disconnected, or the host answered it without the balancer: the request is no longer
+    /// pending.
     ClientDisconnected {
         /// The request.
         request: RequestId,
     },
-    /// The host shuts down: no answer may come later than this.
+    /// The host shuts down: every pending request must be answered by the deadline.
     ShutdownStarted {
-        /// The latest deadline from now on.
+        /// Upper bound on the deadlines of the requests that are pending now.
         deadline: Time,
     },
     /// A timer fired.
     TimerFired {
-        /// Which.
+        /// The token of its [`Action::SetTimer`](crate::Action::SetTimer).
         token: TimerToken,
     },
 }
@@ -50,21 +52,21 @@
 /// A client's request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestArrival {
-    /// Its id.
+    /// Identifies the request in later events and actions.
     pub request: RequestId,
-    /// Its class.
+    /// Index of its class in the active configuration.
     pub class: ClassId,
-    /// Its tenant, if any.
+    /// Index of its tenant in the active configuration; `None` for a request without one.
     pub tenant: Option<TenantId>,
-    /// When the client gives up, from now.
+    /// Time from now until the client gives up.
     pub time_left: Micros,
-    /// The work that the client expects, on a standard core.
+    /// Processor time on a standard core that the client expects the request to need; `None` without a hint.
     pub expected_work: Option<Micros>,
-    /// The client says that it sent the request before.
+    /// The client marked the request as a retry of an earlier one.
     pub is_client_retry: bool,
 }
 
-/// How an attempt ended.
+/// The end of an attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AttemptResult {
     /// The request.
@@ -73,35 +75,35 @@
     pub attempt: AttemptNumber,
     /// How it ended.
     pub outcome: Outcome,
-    /// Time since the dispatch.
+    /// Time from the dispatch to the end of the attempt.
     pub latency: Micros,
-    /// The request has had its final answer; the balancer owes none.
+    /// The host has sent the client its final answer: the request is no longer pending.
     pub answered: bool,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served.
+    /// The backend served the request.
     Success,
-    /// An error answer; it may have been executed.
+    /// The backend answered with an error. The request may have been executed.
     ErrorResponse,
-    /// The backend turned it away unexecuted.
+    /// The backend rejected the request without executing it.
     Rejected,
-    /// No answer in time; it may have been executed or still be.
+    /// No answer arrived in time. The request may have been executed, or still be executing.
     TimedOut,
-    /// No connection was made, or it broke before the request was written whole: never executed.
+    /// No connection was made, or it broke before the whole request was written. It was not executed.
     ConnectFailed,
-    /// The connection broke; it may have been executed.
+    /// The connection broke after the request was written. It may have been executed.
     ConnectionReset,
-    /// Cancelled by the proxy; it may have been executed.
+    /// The proxy cancelled the attempt. The request may have been executed.
     Cancelled,
-    /// Never sent.
+    /// The host did not send the attempt. It was not executed.
     NotSent,
 }
 
 impl Outcome {
-    /// Whether this outcome proves that the attempt was not executed.
+    /// Whether this outcome proves that the backend did not execute the request.
     pub fn never_executed(self) -> bool {
         matches!(self, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent)
     }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,9 +1,10 @@
-//! Load-balancing decisions for a proxy in front of a fleet of HTTP servers, and what hosts of them have in
-//! common.
+//! Load-balancing decisions for a proxy in front of a fleet of HTTP servers, and the code that the programs
+//! which host them share.
 //!
-//! [`Balancer`] is a state machine without clock, network or threads: a host feeds it each [`Event`] with the
-//! time at which it happened and carries out the [`Action`]s it returns. [`wire`] maps settings and lists to
-//! the types used here, [`discovery`] watches the endpoint list, and [`net`] opens connections.
+//! [`Balancer`] is a sans-IO state machine without clock, network or threads: a host passes it each [`Event`]
+//! with the time at which it happened and carries out the [`Action`]s it returns. [`wire`] decodes settings
+//! and endpoint lists into the types of this crate, [`discovery`] watches the endpoint list, and [`net`]
+//! opens connections.
 
 mod action;
 mod backend;
@@ -28,7 +29,7 @@
     AttemptNumber, BackendId, CellId, ClassId, KindId, Micros, RequestId, TenantId, Time, TimerToken, ZoneId,
 };
 
-/// The README's example, kept true by the documentation tests.
+/// Compiles and runs the README's examples as documentation tests.
 #[cfg(doctest)]
 #[doc = include_str!("../README.md")]
 struct Readme;
--- a/src/random.rs
+++ b/src/random.rs
@@ -1,12 +1,12 @@
-//! Reproducible random draws.
+//! Reproducible random numbers.
 
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 
-/// A generator that yields the same draws on every machine for the same seed.
+/// A pseudorandom number generator that yields the same sequence on every machine for the same seed.
 pub(crate) struct Random(Pcg32);
 
-/// An item and its weight in a draw.
+/// An item and its weight in a weighted choice.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Weighted<T> {
     pub item: T,
@@ -18,18 +18,18 @@
         Random(Pcg32::seed_from_u64(seed))
     }
 
-    /// Uniform in [0, 1).
+    /// A number uniformly distributed in [0, 1).
     pub fn unit(&mut self) -> f64 {
         f64::from(self.0.next_u32()) / 4_294_967_296.0
     }
 
-    /// One of the items, with a probability proportional to its weight; `None` only where there is none.
+    /// Chooses an item with a probability proportional to its weight; `None` only if `choices` is empty.
     pub fn pick<T: Copy>(&mut self, choices: &[Weighted<T>]) -> Option<T> {
         let total = choices.iter().map(|choice| choice.weight).sum::<f64>();
-        let mut left = self.unit() * total;
+        let mut remaining = self.unit() * total;
         for choice in choices {
-            left -= choice.weight;
-            if left < 0.0 {
+            remaining -= choice.weight;
+            if remaining < 0.0 {
                 return Some(choice.item);
             }
         }
--- a/src/units.rs
+++ b/src/units.rs
@@ -1,10 +1,10 @@
-//! Times, spans and identifiers.
+//! Points in time, durations and identifiers.
 
-/// A point in time, in microseconds of the host's clock; it begins at no particular value.
+/// A point in time, in microseconds of the host's clock. The clock's origin is arbitrary.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct Time(pub u64);
 
-/// A span of time, in microseconds.
+/// A duration in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct Micros(pub u64);
 
@@ -12,39 +12,39 @@
     /// Later than every event.
     pub const NEVER: Time = Time(u64::MAX);
 
-    /// The point that lies `span` before this one, or the beginning of the clock.
-    pub fn saturating_sub(self, span: Micros) -> Time {
-        Time(self.0.saturating_sub(span.0))
+    /// The point in time `duration` before this one, at least the clock's origin.
+    pub fn saturating_sub(self, duration: Micros) -> Time {
+        Time(self.0.saturating_sub(duration.0))
     }
 }
 
 impl std::ops::Add<Micros> for Time {
     type Output = Time;
-    fn add(self, span: Micros) -> Time {
-        Time(self.0.saturating_add(span.0))
+    fn add(self, duration: Micros) -> Time {
+        Time(self.0.saturating_add(duration.0))
     }
 }
 
 impl std::ops::Sub for Time {
     type Output = Micros;
-    /// The span since `earlier`; zero where that lies ahead.
+    /// The duration since `earlier`; zero where `earlier` is the later one.
     fn sub(self, earlier: Time) -> Micros {
         Micros(self.0.saturating_sub(earlier.0))
     }
 }
 
 impl Micros {
-    /// The span of so many seconds; negative ones give zero.
+    /// Converts from seconds, rounding down; a negative number gives zero.
     pub fn from_secs(secs: f64) -> Micros {
         Micros((secs * 1e6) as u64)
     }
 
-    /// The span in seconds.
+    /// Converts to seconds.
     pub fn secs(self) -> f64 {
         self.0 as f64 / 1e6
     }
 
-    /// The span times a factor; negative factors give zero.
+    /// Multiplies by `factor`, rounding down; a negative factor gives zero.
     pub fn times(self, factor: f64) -> Micros {
         Micros((self.0 as f64 * factor) as u64)
     }
@@ -59,15 +59,15 @@
 }
 
 identifiers! {
-    /// One client request; never used again.
+    /// Identifies a client request; ids are not reused.
     RequestId(u64);
-    /// The address of a backend, numbered by the host; the same number at every proxy.
+    /// Identifies a backend by its address; the host assigns the same number at every proxy.
     BackendId(u64);
-    /// A zone of the network.
+    /// Identifies a network zone.
     ZoneId(u64);
-    /// Some backends that share which idempotency keys they have seen.
+    /// Identifies a cell: a group of backends that share the idempotency keys they have seen.
     CellId(u64);
-    /// A kind of machine: backends of one kind are taken as equally fast.
+    /// Identifies a kind of machine; backends of one kind are assumed to have the same service rate.
     KindId(u64);
     /// Index into [`Config::classes`](crate::Config::classes).
     ClassId(usize);
@@ -75,6 +75,6 @@
     TenantId(usize);
     /// Number of an attempt within its request, from 0 in the order of dispatch.
     AttemptNumber(u32);
-    /// Names a timer to its owner.
+    /// Identifies a timer of the balancer.
     TimerToken(u64);
 }
