--- a/tests/balancer/config_validation.rs
+++ b/tests/balancer/config_validation.rs
@@ -1,10 +1,10 @@
-//! Configurations that are out of range.
+//! Validation of configurations.
 
 use load_balancer::{Balancer, Config, Micros, Tenant};
 
-/// Guards against a balancer that starts with a value out of its range.
+/// Guards against a balancer that starts with an out-of-range value.
 #[test]
-fn an_unsound_configuration_is_a_typed_error() {
+fn an_out_of_range_field_is_named_by_the_error() {
     let error_field = |change: fn(&mut Config)| {
         let mut config = Config::example();
         change(&mut config);
--- a/tests/balancer/fleet_growth.rs
+++ b/tests/balancer/fleet_growth.rs
@@ -1,6 +1,5 @@
-//! What a proxy needs in a fleet three times as large with sixteen times the backends, beside what it needs
-//! in its own. The traffic of a proxy stays the same. Balancers alone, with a pool of connections as the
-//! proxy keeps it.
+//! Growth of a proxy's connections with the fleet: three times the proxies and sixteen times the backends, at
+//! the same traffic per proxy. Simulates balancers with a connection pool like the proxy's.
 
 use crate::support::{backend, Host};
 use load_balancer::{Backend, BackendState, Config, EndpointListUpdate, Micros, Outcome, RequestId};
@@ -9,20 +8,20 @@
 use std::cmp::Reverse;
 use std::collections::HashMap;
 
-/// The mean time between two requests of a proxy, in µs.
+/// Mean time between two requests of a proxy, in µs.
 const MEAN_INTERVAL_US: f64 = 16_667.0;
-/// The mean time that a request takes, in µs.
+/// Mean duration of a request, in µs.
 const MEAN_SERVICE_US: f64 = 45_000.0;
 
-/// An idle connection is closed after this, in µs.
+/// Time after which an idle connection is closed, in µs.
 const IDLE_TIMEOUT_US: u64 = 5_000_000;
 
-/// In this time half of the backends are replaced, in µs.
+/// Duration of a release, during which half of the backends are replaced, in µs.
 const RELEASE_US: u64 = 25_000_000;
 
 const KINDS: u32 = 2;
 
-/// How large a fleet is.
+/// The size of a fleet.
 #[derive(Clone, Copy, Debug)]
 struct FleetSize {
     proxies: u32,
@@ -36,14 +35,14 @@
 /// The connections of one proxy.
 #[derive(Default)]
 struct Pool {
-    /// When the last request on each connection to a backend ends.
+    /// For each backend and each connection to it, the end of the last request in µs.
     connections: HashMap<u32, Vec<u64>>,
     opened: u32,
     most_open: usize,
 }
 
 impl Pool {
-    /// Sends a request on the connection that was used last of those that are free, else on a new one.
+    /// Sends a request on the most recently used free connection, or on a new one if none is free.
     fn send(&mut self, backend: u32, now: u64, end: u64) {
         for connections in self.connections.values_mut() {
             connections.retain(|last_end| now.saturating_sub(*last_end) < IDLE_TIMEOUT_US);
@@ -60,17 +59,16 @@
     }
 }
 
-/// A random time, exponential with this mean.
+/// A random duration from an exponential distribution with this mean.
 fn random_time(random: &mut Pcg32, mean: f64) -> u64 {
     let unit = (f64::from(random.next_u32()) + 0.5) / 4_294_967_296.0;
     (-unit.ln() * mean) as u64
 }
 
-/// Replaces these backends in one delta.
+/// Replaces the backends of these numbers in one delta.
 fn replace(host: &mut Host, pool: &mut Pool, size: FleetSize, numbers: std::ops::Range<u32>) {
     let mut delta = Vec::new();
     for number in numbers {
-        // The order of ids is not that of age.
         let (old, new) = (id_of(number), id_of(size.backends + number));
         pool.connections.remove(&old);
         delta.push(Backend { state: BackendState::Removed, ..backend(old, 0, number % KINDS) });
@@ -79,27 +77,27 @@
     host.update_endpoints(EndpointListUpdate::Delta, delta);
 }
 
-/// The id of a backend: ids are not in order.
+/// The id of a backend. Ids are scattered, so that their order differs from the order of starts.
 fn id_of(number: u32) -> u32 {
     number.wrapping_mul(2_654_435_761)
 }
 
-/// A request in flight, and when it ends.
+/// A request in flight and its end in µs.
 struct InFlight {
     end: u64,
     id: RequestId,
 }
 
-/// What one proxy needs during a release.
+/// The connections of one proxy during a release.
 #[derive(Clone, Copy, Debug)]
 struct ConnectionUse {
-    /// Connections opened.
+    /// Number of connections opened.
     opened: f64,
-    /// The most that were open at once.
+    /// Maximum number of connections open at once.
     most_open: f64,
 }
 
-/// The connections of one proxy while half of the backends are replaced in so many steps.
+/// Simulates one proxy while half of the backends are replaced in the given number of steps.
 fn run_release(size: FleetSize, proxy_index: u32, steps: u32) -> ConnectionUse {
     let config = Config { proxy_count: size.proxies, proxy_index, ..Config::example() };
     let mut host = Host::new(config, u64::from(proxy_index) + 1);
@@ -138,8 +136,8 @@
     ConnectionUse { opened: f64::from(pool.opened), most_open: pool.most_open as f64 }
 }
 
-/// The mean over some proxies.
-fn mean(size: FleetSize, steps: u32) -> ConnectionUse {
+/// The mean connections over some proxies of the fleet.
+fn mean_use(size: FleetSize, steps: u32) -> ConnectionUse {
     let proxy_indexes = [1, 17, 60, 123, 200, 271];
     let uses = proxy_indexes.map(|proxy_index| run_release(size, proxy_index, steps));
     let count = uses.len() as f64;
@@ -149,14 +147,15 @@
     }
 }
 
-/// Guards against connections that grow with the fleet until they fill the tables of the backends.
+/// Guards against a number of connections that grows with the fleet and fills the backends' connection
+/// tables.
 #[test]
-fn connections_made_and_kept_grow_only_so_far_with_the_fleet() {
+fn connections_grow_less_than_the_fleet() {
     for steps in [10, 90] {
-        let (usual, large) = (mean(USUAL, steps), mean(LARGE, steps));
+        let (usual, large) = (mean_use(USUAL, steps), mean_use(LARGE, steps));
         println!("{steps} steps: {usual:?} at the usual size, {large:?} at the large one");
-        // The operators allow 40 more, for connections that are not simulated here.
-        assert!(large.opened <= 2.5 * usual.opened, "{steps} steps: {large:?} beside {usual:?}");
-        assert!(large.most_open <= 2.0 * usual.most_open + 40.0, "{steps} steps: {large:?} beside {usual:?}");
+        // The operators allow 40 more connections, for those that are not simulated here.
+        assert!(large.opened <= 2.5 * usual.opened, "{steps} steps: {large:?}, usual {usual:?}");
+        assert!(large.most_open <= 2.0 * usual.most_open + 40.0, "{steps} steps: {large:?}, usual {usual:?}");
     }
 }
--- a/tests/balancer/fleet_slow_start.rs
+++ b/tests/balancer/fleet_slow_start.rs
@@ -1,7 +1,7 @@
-//! What all proxies of a fleet together send to backends that have just started, beside what the rule allows:
-//! N is what the settings allow a warming backend in an overload window, and 2 x root of N + 2 more is
-//! chance. Balancers alone: each knows nothing of the others, and their attempts all take the time that one
-//! request takes a warm backend.
+//! The work that all proxies of a fleet together send to warming backends, compared with the platform's
+//! limit: N + 2 x sqrt(N) + 2 in an overload window, where N follows from the configuration and the rest
+//! allows for random variation. The balancers do not communicate. Each attempt takes as long as on an
+//! unloaded warm backend.
 
 use crate::support::{backend, AttemptId, Host};
 use load_balancer::{Backend, Config, EndpointListUpdate, Micros, Outcome, Time};
@@ -12,21 +12,22 @@
 const SERVICE_US: u64 = 50_000;
 const STEP_US: u64 = 25_000;
 const BACKENDS: u32 = 60;
-/// Steps before and after the start of the warming backends.
+/// Steps before the start of the warming backends.
 const STEPS_BEFORE: u64 = 160;
+/// Steps after it.
 const STEPS_AFTER: u64 = 240;
 
-/// A fleet, its load and what happens to it.
+/// A fleet, its load and the events of a run.
 #[derive(Clone, Copy, Debug)]
 struct Scenario {
     proxies: u32,
-    /// Arrivals, as a part of what all backends can do when warm.
+    /// Arrival rate, as a fraction of the service rate of all backends when warm.
     load: f64,
-    /// So many of ten backends start at once.
+    /// This many of every ten backends start at once.
     started_tenths: u64,
-    /// The proxies start with them and know neither rate nor times.
+    /// Whether the proxies restart at the same time, and so know neither rates nor latencies.
     proxies_restart: bool,
-    /// A tenth of the backends, warm ones, refuses all connections from then on.
+    /// Whether a tenth of the backends, which are warm, refuses all connections from then on.
     connections_refused: bool,
     seed: u64,
 }
@@ -40,7 +41,8 @@
         self.connections_refused && step >= STEPS_BEFORE && backend % 10 == 9
     }
 
-    /// The requests of a proxy in one step, on average: every eighth gets four times as many as the others.
+    /// Mean number of requests of a proxy in one step. Every eighth proxy gets four times as many as the
+    /// others.
     fn mean_arrivals(&self, proxy_index: u32) -> f64 {
         let weight = |index: u32| if index % 8 == 1 { 4.0 } else { 1.0 };
         let all: f64 = (0..self.proxies).map(weight).sum();
@@ -59,12 +61,12 @@
     Config { proxy_count: proxies, classes: vec![class; 3], ..with_slow_start }
 }
 
-/// A class's work beside the mean of the three, which come equally often.
-fn work(class: usize) -> f64 {
+/// Work of a class as a multiple of the mean work; the three classes are equally frequent.
+fn relative_work(class: usize) -> f64 {
     [0.5, 1.0, 1.5][class]
 }
 
-/// How many events happen by chance that are this many on average.
+/// A random number from a Poisson distribution with this mean.
 fn poisson(random: &mut Pcg32, mean: f64) -> u32 {
     let mut unit = || (f64::from(random.next_u32()) + 0.5) / 4_294_967_296.0;
     let (floor, mut product, mut count) = ((-mean).exp(), unit(), 0);
@@ -75,10 +77,11 @@
     count
 }
 
-/// Work that each backend was sent in each step since the start of the warming ones.
+/// For each backend, the work sent to it in each step since the start of the warming backends, in requests of
+/// mean work.
 type SentWork = Vec<Vec<f64>>;
 
-/// One proxy of a scenario.
+/// A proxy of a scenario.
 struct ScenarioProxy<'a> {
     scenario: &'a Scenario,
     proxy_index: u32,
@@ -96,7 +99,7 @@
         ScenarioProxy { scenario, proxy_index, seed, backends, host }
     }
 
-    /// Runs the scenario and adds what the proxy sends.
+    /// Runs the scenario and adds the work that the proxy sends.
     fn run(&mut self, sent: &mut SentWork) {
         let mut random = Pcg32::seed_from_u64(self.seed);
         let mean = self.scenario.mean_arrivals(self.proxy_index);
@@ -116,7 +119,7 @@
         }
     }
 
-    /// The warming backends start, and the proxy as well where the scenario has it so.
+    /// Starts the warming backends, and restarts the proxy if the scenario includes that.
     fn start_backends(&mut self) {
         if self.scenario.proxies_restart {
             let config = Config { proxy_index: self.proxy_index, ..config(self.scenario.proxies) };
@@ -131,12 +134,12 @@
         self.host.update_endpoints(EndpointListUpdate::Delta, started);
     }
 
-    /// Ends the attempts that have taken their time, or that are refused.
+    /// Ends the attempts whose duration has passed or whose connection is refused.
     fn end_attempts(&mut self, step: u64) {
         for AttemptId { request: id, number } in self.host.in_flight() {
             let request = &self.host.requests[&id];
             let attempt = &request.attempts[number];
-            let duration_us = work(request.class) * SERVICE_US as f64;
+            let duration_us = relative_work(request.class) * SERVICE_US as f64;
             if self.scenario.refuses_connections(attempt.backend.0, step) {
                 self.host.end(id, number, Outcome::ConnectFailed);
             } else if (self.host.now - attempt.at).0 as f64 >= duration_us {
@@ -145,40 +148,42 @@
         }
     }
 
-    /// Adds what the requests that have ended, or all of them, sent since `start`.
+    /// Adds the attempts sent since `start` by the requests that have ended, or by all requests.
     fn add_sent_work(&self, start: Time, all_requests: bool, sent: &mut SentWork) {
         let end = start + Micros(STEPS_AFTER * STEP_US);
         let ended = self.host.requests.values().filter(|request| all_requests || request.answer.is_some());
         for request in ended {
             for attempt in request.attempts.iter().filter(|attempt| (start..end).contains(&attempt.at)) {
                 let step = ((attempt.at - start).0 / STEP_US) as usize;
-                sent[attempt.backend.0 as usize][step] += work(request.class);
+                sent[attempt.backend.0 as usize][step] += relative_work(request.class);
             }
         }
     }
 }
 
-/// The most work in a window of a warming backend, beside what the rule allows then.
+/// The overload windows of warming backends, compared with the limit.
 #[derive(Clone, Copy, Default)]
 struct Worst {
+    /// Maximum work in a window, as a fraction of the limit.
     ratio: f64,
-    /// How many windows of all were over the limit.
+    /// Number of windows over the limit.
     windows_over: usize,
 }
 
 impl Worst {
-    fn or(self, other: Worst) -> Worst {
+    fn merge(self, other: Worst) -> Worst {
         let windows_over = self.windows_over + other.windows_over;
         Worst { ratio: f64::max(self.ratio, other.ratio), windows_over }
     }
 }
 
-/// What the rule allows in the window that ends with a step. The backend can do less before its end.
+/// The limit in the window that ends with a step, from the backend's capacity at the end of the window.
 fn limit(config: &Config, end_step: usize) -> f64 {
     let age = end_step as f64 * STEP_US as f64 / config.slow_start_duration.0 as f64;
-    let warmth =
+    let warm_fraction =
         config.slow_start_initial_fraction + (1.0 - config.slow_start_initial_fraction) * age.min(1.0);
-    let allowed = config.overload_multiple * warmth * config.overload_window.0 as f64 / SERVICE_US as f64;
+    let allowed =
+        config.overload_multiple * warm_fraction * config.overload_window.0 as f64 / SERVICE_US as f64;
     allowed + 2.0 * allowed.sqrt() + 2.0
 }
 
@@ -195,7 +200,7 @@
         for end in 1..=steps.len() {
             let sum: f64 = steps[end.saturating_sub(window)..end].iter().sum();
             let ratio = sum / limit(&config, end);
-            worst = worst.or(Worst { ratio, windows_over: usize::from(ratio > 1.0) });
+            worst = worst.merge(Worst { ratio, windows_over: usize::from(ratio > 1.0) });
         }
     }
     worst
@@ -222,12 +227,13 @@
     scenarios
 }
 
-/// Runs every fleet and load with so many seeds; prints the worst ratio of each, returns that of all.
+/// Runs every fleet size and load with `seeds` seeds. Prints the maximum ratio of each scenario and returns
+/// that of all.
 fn worst_of_all(proxies: &[u32], loads: &[f64], seeds: u64) -> f64 {
     let scenarios = scenarios(proxies, loads);
     let run = |scenario: &Scenario| {
         let worst_of_seeds = (1..=seeds).map(|seed| worst(&Scenario { seed, ..*scenario }));
-        worst_of_seeds.fold(Worst::default(), Worst::or)
+        worst_of_seeds.fold(Worst::default(), Worst::merge)
     };
     let threads = std::thread::available_parallelism().map_or(2, |count| count.get().min(4));
     let mut results: Vec<(Scenario, Worst)> = std::thread::scope(|scope| {
@@ -236,7 +242,7 @@
             part.map(|scenario| (*scenario, run(scenario))).collect()
         };
         let spawned: Vec<_> = (0..threads).map(|thread| scope.spawn(move || run_part(thread))).collect();
-        spawned.into_iter().flat_map(|thread| thread.join().expect("a part of the scenarios")).collect()
+        spawned.into_iter().flat_map(|thread| thread.join().expect("a scenario thread panicked")).collect()
     });
     results.sort_by(|a, b| b.1.ratio.total_cmp(&a.1.ratio));
     for (scenario, Worst { ratio, windows_over }) in &results {
@@ -245,11 +251,11 @@
     results[0].1.ratio
 }
 
-/// Guards against proxies that together overload a warming backend. `FALL_SEEDS` runs more seeds than the few
-/// that every change has to pass.
+/// Guards against proxies that together overload a warming backend. `FALL_SEEDS` sets the number of seeds, 1
+/// by default.
 #[test]
 fn no_fleet_overloads_a_warming_backend() {
     let seeds = std::env::var("FALL_SEEDS").ok().and_then(|seeds| seeds.parse().ok()).unwrap_or(1);
     let worst = worst_of_all(&[3, 8, 20, 30, 300, 470], &[0.6, 0.9, 1.3], seeds);
-    assert!(worst <= 1.0, "{worst}");
+    assert!(worst <= 1.0, "a window reached {worst:.2} of the limit");
 }
--- a/tests/balancer/outlier_detection.rs
+++ b/tests/balancer/outlier_detection.rs
@@ -1,4 +1,4 @@
-//! Which backends are ejected, for how long, and which stay in use.
+//! Ejection of outliers: which backends are ejected, and for how long.
 
 use crate::support::{backends, class, config_of, host, serve, Answer, Host};
 use load_balancer::{Config, Idempotency, Outcome, RequestId};
@@ -9,7 +9,7 @@
 /// The backend that [`eject_one`] ejects.
 const FAILING: u32 = 3;
 
-/// Serves on all but one backend until that is ejected; returns its id.
+/// Sends requests, which fail only on [`FAILING`], until that is ejected; returns its id.
 fn eject_one(host: &mut Host) -> u32 {
     serve(host, 60, 0, |_| 10_000);
     for _ in 0..200 {
@@ -23,22 +23,28 @@
             return FAILING;
         }
     }
-    panic!("never ejected");
+    panic!("the failing backend was not ejected");
 }
 
-/// Guards against a failing backend that is not ejected, or never used again.
+/// Guards against a failing backend that is not ejected, or is never used again.
 #[test]
-fn a_failing_backend_is_ejected_and_comes_back_after_its_ejection_time() {
+fn a_failing_backend_is_used_again_after_its_ejection_time() {
     let mut host = host(config_of(vec![class(Idempotency::Idempotent)]), backends(6));
     let ejected = eject_one(&mut host);
-    assert!(!serve(&mut host, 40, 0, |_| 5_000).contains(&ejected), "used while ejected");
+    assert!(
+        !serve(&mut host, 40, 0, |_| 5_000).contains(&ejected),
+        "backend {ejected} was used while ejected"
+    );
     host.advance(2_000_000);
-    assert!(serve(&mut host, 60, 0, |_| 5_000).contains(&ejected), "never used again");
+    assert!(
+        serve(&mut host, 60, 0, |_| 5_000).contains(&ejected),
+        "backend {ejected} was not used after its ejection"
+    );
 }
 
-/// Guards against one good answer that clears the record of a backend which mostly fails.
+/// Guards against a single success that ends the probation of a backend which mostly fails.
 #[test]
-fn a_backend_that_mostly_fails_is_ejected_for_longer_each_time() {
+fn a_backend_that_mostly_fails_is_ejected_for_ever_longer_times() {
     let mut host = host(config_of(vec![class(Idempotency::NonIdempotent)]), backends(6));
     serve(&mut host, 60, 0, |_| 10_000);
     let (mut sent, mut errors) = (0, 0);
@@ -51,20 +57,24 @@
         host.advance(10_000);
         host.end(id, 0, if fails { Outcome::ErrorResponse } else { Outcome::Success });
     }
-    assert!((10..=26).contains(&errors), "{errors} errors in half a minute");
+    assert!((10..=26).contains(&errors), "{errors} errors in 30 s");
 }
 
-/// Guards against the ejection of a backend whose connection table is full, and connects to it without end.
+/// Guards against an ejection for one refused connection, and against constant reconnects to a backend that
+/// refuses all.
 #[test]
-fn one_refused_connection_ejects_no_backend_and_a_full_table_is_connected_to_less_and_less() {
+fn only_repeatedly_refused_connections_eject_a_backend() {
     let mut host = host(config_of(vec![class(Idempotency::NonIdempotent)]), backends(4));
     serve(&mut host, 60, 0, |_| 10_000);
     let id = host.arrive(0, 900_000);
     let first = host.dispatched_to(id)[0];
     host.end(id, 0, Outcome::ConnectFailed);
-    assert!(host.dispatched_to(id).len() == 2 && host.dispatched_to(id)[1] != first, "it goes elsewhere");
+    assert!(
+        host.dispatched_to(id).len() == 2 && host.dispatched_to(id)[1] != first,
+        "the retry went to the same backend, or there was none"
+    );
     host.end(id, 1, Outcome::Success);
-    // Well within the shortest ejection.
+    // Takes less time than the shortest ejection.
     assert!(serve(&mut host, 120, 0, |_| 5_000).contains(&first), "ejected for one refused connection");
     let mut connects = 0;
     for _ in 0..3_000 {
@@ -84,9 +94,9 @@
     assert!((4..=12).contains(&connects), "{connects} connects in 42 s");
 }
 
-/// Guards against connects to unreachable backends as soon as half of the fleet is ejected.
+/// Guards against the use of unreachable backends when more than half of the fleet is ejected.
 #[test]
-fn with_half_of_the_fleet_ejected_unreachable_backends_stay_ejected() {
+fn unreachable_backends_stay_ejected_when_most_backends_are_ejected() {
     let mut host = host(config_of(vec![class(Idempotency::NonIdempotent)]), backends(6));
     serve(&mut host, 60, 0, |_| 10_000);
     let (mut connects, mut used_later) = (0, BTreeSet::new());
@@ -104,22 +114,25 @@
         });
     }
     assert!(connects <= 20, "{connects} connects to two unreachable backends in 6 s");
-    assert!(used_later.contains(&2) && used_later.contains(&3), "the others are used: {used_later:?}");
-    // With no other left they are used: it may be the network to all of them that failed.
+    assert!(
+        used_later.contains(&2) && used_later.contains(&3),
+        "the reachable ejected backends are not used: {used_later:?}"
+    );
+    // If all backends are unreachable, they are used: the network between them and the proxy may have failed.
     for _ in 0..30 {
         host.arrive(0, 900_000);
         host.advance(10_000);
         host.end_all(|_| Outcome::ConnectFailed);
     }
-    assert!(!serve(&mut host, 5, 0, |_| 5_000).is_empty(), "none is used");
+    assert!(!serve(&mut host, 5, 0, |_| 5_000).is_empty(), "no backend is used");
 }
 
-/// Guards against the ejection of backends that fail no more often than all others.
+/// Guards against the ejection of backends that fail as often as all others.
 #[test]
-fn where_all_fail_alike_none_is_ejected_but_one_that_fails_far_more_is() {
+fn only_a_backend_that_fails_far_more_than_others_is_ejected() {
     let mut host = host(config_of(vec![class(Idempotency::NonIdempotent)]), backends(9));
     let mut random = Pcg32::seed_from_u64(11);
-    // Half a second of requests; the fourth backend has its own failure rate. Counts the use of each.
+    // Sends requests for 500 ms, with a failure rate for backend 3, and counts the requests of each backend.
     let mut run = |host: &mut Host, failure_rate: f64| {
         let mut used = [0; 9];
         for _ in 0..50 {
@@ -135,21 +148,22 @@
     };
     let count_unused = |used: [u32; 9]| used.iter().filter(|count| **count == 0).count();
     let unused: usize = (0..60).map(|_| count_unused(run(&mut host, 0.07))).sum();
-    assert!(unused <= 30, "not used in {unused} of 540 half seconds");
+    assert!(unused <= 30, "a backend was not used in {unused} of 540 intervals");
     let sent: u32 = (0..60).map(|_| run(&mut host, 0.9)[3]).sum();
-    assert!(sent <= 60, "{sent} of 3000 requests went to one that fails nine of ten");
+    assert!(sent <= 60, "{sent} of 3000 requests went to a backend that fails 90 % of them");
 }
 
-/// Guards against an ejection for one reset connection, and none where all connections of a backend break.
+/// Guards against an ejection for one reset connection, and against none when all connections of a backend
+/// are reset.
 #[test]
-fn one_broken_connection_ejects_no_backend_but_a_dead_process_is_ejected() {
+fn a_dead_process_is_ejected_but_not_for_one_reset_connection() {
     let mut host = host(config_of(vec![class(Idempotency::NonIdempotent)]), backends(4));
     serve(&mut host, 60, 0, |_| 10_000);
     let id = host.arrive(0, 900_000);
     let first = host.dispatched_to(id)[0];
     host.end(id, 0, Outcome::ConnectionReset);
-    // Well within the shortest ejection.
-    assert!(serve(&mut host, 120, 0, |_| 5_000).contains(&first), "ejected for one connection");
+    // Takes less time than the shortest ejection.
+    assert!(serve(&mut host, 120, 0, |_| 5_000).contains(&first), "ejected for one reset connection");
     let dead = loop {
         let requests: Vec<RequestId> = host.burst(2, 0, 900_000);
         let chosen: Vec<u32> = requests.iter().map(|id| host.dispatched_to(*id)[0]).collect();
@@ -161,35 +175,39 @@
             break chosen[0];
         }
     };
-    assert!(!serve(&mut host, 40, 0, |_| 5_000).contains(&dead), "all its connections broke at once");
+    assert!(
+        !serve(&mut host, 40, 0, |_| 5_000).contains(&dead),
+        "not ejected although all its connections were reset"
+    );
 }
 
-/// Guards against ejections and load shedding because backends reject connections over their limit.
+/// Guards against ejections and load shedding when backends reject requests because their connection tables
+/// are full.
 #[test]
-fn a_full_connection_table_neither_ejects_its_backend_nor_sheds_load() {
+fn a_full_connection_table_causes_neither_ejection_nor_load_shedding() {
     let mut host = host(Config { proxy_count: 100, ..Config::example() }, backends(20));
     serve(&mut host, 60, 0, |_| 10_000);
     let mut rejecting = BTreeSet::new();
     for _ in 0..40 {
-        // As many as the retry budget allows.
+        // Enough requests for the retry budget to allow one retry.
         serve(&mut host, 5, 0, |_| 5_000);
         let id = host.arrive(0, 900_000);
-        assert_eq!(host.dispatched_to(id).len(), 1, "shed, or nowhere to go");
+        assert_eq!(host.dispatched_to(id).len(), 1, "rejected by load shedding, or without a usable backend");
         rejecting.insert(host.dispatched_to(id)[0]);
         host.advance(5_000);
         host.end(id, 0, Outcome::Rejected);
         host.advance(5_000);
         host.end(id, 1, Outcome::Success);
-        assert_eq!(host.answer(id), Some(Answer::Served), "not sent elsewhere");
+        assert_eq!(host.answer(id), Some(Answer::Served), "not retried at another backend");
     }
     assert!(!host.has_ejected_any(), "{:?}", host.logs);
-    let again: BTreeSet<_> = serve(&mut host, 200, 0, |_| 5_000).into_iter().collect();
-    assert!(rejecting.is_subset(&again), "ejected for a full table");
+    let used_later: BTreeSet<_> = serve(&mut host, 200, 0, |_| 5_000).into_iter().collect();
+    assert!(rejecting.is_subset(&used_later), "ejected for a full connection table");
 }
 
-/// Guards against all load on the one backend left where most fail.
+/// Guards against sending all load to the last backend that is not ejected.
 #[test]
-fn when_most_backends_fail_ejected_ones_are_used() {
+fn ejected_backends_are_used_when_most_are_ejected() {
     let mut host = host(config_of(vec![class(Idempotency::Idempotent)]), backends(4));
     serve(&mut host, 40, 0, |_| 10_000);
     for _ in 0..200 {
@@ -201,12 +219,16 @@
         host.end(id, number, Outcome::Success);
     }
     let chosen = serve(&mut host, 80, 0, |_| 5_000);
-    assert!(chosen.iter().any(|backend| *backend != 0), "all load went to the one backend left");
+    assert!(
+        chosen.iter().any(|backend| *backend != 0),
+        "all load went to the only backend that is not ejected"
+    );
 }
 
-/// Guards against an overloaded backend whose clients disconnect before their deadline, so that none fails.
+/// Guards against an overloaded backend that is not detected because its clients disconnect before the
+/// deadline.
 #[test]
-fn an_attempt_cancelled_after_its_objective_counts_against_the_backend() {
+fn an_attempt_cancelled_after_its_objective_counts_against_its_backend() {
     let mut host = host(config_of(vec![class(Idempotency::NonIdempotent)]), backends(6));
     serve(&mut host, 60, 0, |_| 10_000);
     let id = host.arrive(0, 900_000);
@@ -214,5 +236,5 @@
     host.advance(450_000);
     host.disconnect(id);
     host.advance(20_000);
-    assert!(!serve(&mut host, 30, 0, |_| 5_000).contains(&slow), "it still gets its share");
+    assert!(!serve(&mut host, 30, 0, |_| 5_000).contains(&slow), "the slow backend is still used");
 }
--- a/tests/balancer/reconfiguration.rs
+++ b/tests/balancer/reconfiguration.rs
@@ -1,4 +1,4 @@
-//! Reconfiguration: what comes into force, what stays, and what requests in flight keep.
+//! Reconfiguration: which settings become active, which state is kept, and what pending requests keep.
 
 use crate::support::{backend, backends, class, serve, Answer, Host};
 use load_balancer::{
@@ -8,7 +8,7 @@
 };
 use std::collections::BTreeSet;
 
-/// A host of these classes and four backends of one kind, with retries to spend.
+/// A host with these classes and four backends of one kind, whose retry budget allows retries.
 fn host(classes: Vec<Class>) -> Host {
     let mut host = Host::new(Config { classes, ..Config::example() }, 3);
     host.update_endpoints(EndpointListUpdate::Snapshot, backends(4));
@@ -16,11 +16,11 @@
     host
 }
 
-fn class_ids(numbers: &[Option<usize>]) -> Vec<Option<ClassId>> {
-    numbers.iter().map(|number| number.map(ClassId)).collect()
+fn class_ids(indices: &[Option<usize>]) -> Vec<Option<ClassId>> {
+    indices.iter().map(|index| index.map(ClassId)).collect()
 }
 
-/// The attempts of a request so far, and its answer.
+/// Number of attempts of a request so far, and its answer.
 #[derive(Debug, PartialEq)]
 struct Progress {
     attempts: usize,
@@ -31,7 +31,7 @@
     Progress { attempts: host.requests[&id].attempts.len(), answer: host.answer(id) }
 }
 
-/// What becomes of a request whose first attempt ends in a reset after its class was replaced.
+/// The progress of a request whose first attempt ends in a connection reset after its class was replaced.
 fn progress_after_reset(idempotency: Idempotency, new_idempotency: Idempotency) -> Progress {
     let mut host = host(vec![class(Idempotency::Idempotent), class(idempotency)]);
     let id = host.arrive(1, 900_000);
@@ -44,14 +44,14 @@
     progress_of(&host, id)
 }
 
-/// Guards against a retry by the new idempotency of a class, or none by the old.
+/// Guards against pending requests that are retried, or not retried, by the new idempotency of their class.
 #[test]
-fn a_request_in_hand_keeps_the_effect_that_it_came_with() {
+fn a_pending_request_keeps_the_idempotency_of_its_arrival() {
     let failed = Progress { attempts: 1, answer: Some(Answer::Failed) };
     assert_eq!(progress_after_reset(Idempotency::NonIdempotent, Idempotency::Idempotent), failed);
     let retried = Progress { attempts: 2, answer: None };
     assert_eq!(progress_after_reset(Idempotency::Idempotent, Idempotency::NonIdempotent), retried);
-    // The next one goes by the new idempotency.
+    // A later request uses the new idempotency.
     let mut host = host(vec![class(Idempotency::Idempotent)]);
     host.reconfigure(Config { classes: vec![class(Idempotency::NonIdempotent)], ..host.config.clone() });
     let id = host.arrive(0, 900_000);
@@ -60,9 +60,9 @@
     assert_eq!(host.answer(id), Some(Answer::Failed));
 }
 
-/// Guards against requests that are judged by the limits and objectives of a later configuration.
+/// Guards against requests that are handled by the limits and objectives of a later configuration.
 #[test]
-fn a_request_in_flight_keeps_the_attempts_and_the_objective_of_its_arrival() {
+fn a_pending_request_keeps_the_limits_of_its_arrival() {
     for (before, after, attempts) in [(1, 3, 1), (3, 1, 3)] {
         let mut host = host(vec![class(Idempotency::Idempotent)]);
         host.reconfigure(Config { max_attempts: before, ..host.config.clone() });
@@ -72,9 +72,13 @@
             host.end(id, number, Outcome::Rejected);
             host.advance(5_000);
         }
-        assert_eq!(host.requests[&id].attempts.len(), attempts, "{before} attempts, then {after}");
+        assert_eq!(
+            host.requests[&id].attempts.len(),
+            attempts,
+            "max_attempts changed from {before} to {after}"
+        );
     }
-    // Queued without a backend: given up by the objective on its arrival, not by that of those after it.
+    // Queued without a backend, a request is given up by the objective on its arrival, not by a later one.
     let mut host = host(vec![class(Idempotency::Idempotent)]);
     host.update_endpoints(EndpointListUpdate::Snapshot, Vec::new());
     let with_long_objective = host.arrive(0, 900_000);
@@ -88,16 +92,16 @@
     );
 }
 
-/// Guards against requests and attempts that outlive their class, or go by the class at its place.
+/// Guards against requests and attempts that outlive their class, or that use another class with its index.
 #[test]
-fn classes_may_be_removed_added_and_renumbered_while_requests_of_them_are_in_flight() {
+fn classes_with_requests_in_flight_may_be_removed_and_renumbered() {
     let slow = Class { latency_objective: Micros(800_000), ..class(Idempotency::NonIdempotent) };
     let mut host = host(vec![class(Idempotency::Idempotent), slow.clone(), class(Idempotency::Idempotent)]);
     let of_removed_class = host.arrive(1, 900_000);
     let of_moved_class = host.arrive(2, 900_000);
     let classes = vec![class(Idempotency::NonIdempotent), class(Idempotency::Idempotent)];
     host.reconfigure_from(Config { classes, ..host.config.clone() }, class_ids(&[None, Some(2)]), Vec::new());
-    // A number beyond the classes in force names none, also while a removed class is remembered.
+    // An index beyond the active classes is unknown, also while a removed class is retained.
     let unknown_class = RequestArrival {
         request: RequestId(1_000_000),
         class: ClassId(2),
@@ -126,7 +130,7 @@
     let served = Progress { attempts: 1, answer: Some(Answer::Served) };
     assert_eq!((progress_of(&host, of_removed_class), progress_of(&host, of_new_class)), (failed, served));
     assert_eq!(progress_of(&host, of_moved_class), Progress { attempts: 2, answer: None });
-    // An attempt that outlives its request and its class.
+    // The attempt outlives its request and its class.
     host.disconnect(of_moved_class);
     host.reconfigure_from(
         Config { classes: vec![class(Idempotency::Idempotent)], ..host.config.clone() },
@@ -137,9 +141,9 @@
     assert_eq!(serve(&mut host, 5, 0, |_| 20_000).len(), 5);
 }
 
-/// Guards against a class that loses its mean latency, by which its requests are given up in time.
+/// Guards against a class that loses its mean latency, which decides when its queued requests are given up.
 #[test]
-fn what_was_learned_of_a_class_goes_with_its_name() {
+fn the_statistics_of_a_class_follow_it_to_its_new_index() {
     let given_up_after = |previous_class: Option<usize>| {
         let mut host = host(vec![class(Idempotency::Idempotent), class(Idempotency::Idempotent)]);
         serve(&mut host, 60, 1, |_| 300_000);
@@ -157,12 +161,12 @@
         })
     };
     let (slow, quick, new) = (given_up_after(Some(1)), given_up_after(Some(0)), given_up_after(None));
-    assert!(slow < new && new < quick, "after {slow:?}, {new:?} and {quick:?} hundredths of a second");
+    assert!(slow < new && new < quick, "given up after {slow:?}, {new:?} and {quick:?} steps of 10 ms");
 }
 
-/// Guards against an ejection that ends with a reconfiguration.
+/// Guards against a reconfiguration that ends an ejection.
 #[test]
-fn an_ejected_backend_stays_ejected() {
+fn an_ejected_backend_stays_ejected_after_a_reconfiguration() {
     let mut host = host(vec![class(Idempotency::Idempotent)]);
     for _ in 0..40 {
         let id = host.arrive(0, 900_000);
@@ -180,10 +184,10 @@
     assert!(chosen.iter().all(|backend| *backend != 2), "{chosen:?}");
 }
 
-/// The requests that a warming backend is sent while something happens that has the shares computed anew.
+/// Number of attempts sent to a warming backend while `recompute_shares` repeatedly causes a share update.
 fn sent_to_warming_backend(recompute_shares: impl Fn(&mut Host, Backend)) -> usize {
     let class = Class { latency_objective: Micros(5_000_000), ..class(Idempotency::Idempotent) };
-    // A backend that is overloaded soon, so that this bounds what it is sent.
+    // A low overload multiple, so that slow start limits the requests sent to the backend.
     let config =
         Config { classes: vec![class], proxy_count: 1, overload_multiple: 0.05, ..Config::example() };
     let mut host = Host::new(config, 5);
@@ -198,23 +202,24 @@
     host.requests.values().map(|request| request.attempts.len()).sum()
 }
 
-/// Guards against a reconfiguration that forgets what a warming backend was sent, so that it is overloaded.
+/// Guards against a reconfiguration that resets the requests counted for a warming backend, which overloads
+/// it.
 #[test]
-fn what_a_warming_backend_was_sent_stays_counted() {
+fn requests_to_a_warming_backend_stay_counted_after_a_reconfiguration() {
     let update = |host: &mut Host, entry| host.update_endpoints(EndpointListUpdate::Delta, vec![entry]);
     let reconfigure = |host: &mut Host, _| host.reconfigure(host.config.clone());
     let (without, with) = (sent_to_warming_backend(update), sent_to_warming_backend(reconfigure));
-    assert!((1..=15).contains(&without), "{without} requests");
-    assert!(with <= without + 2, "{with} requests, {without} without");
+    assert!((1..=15).contains(&without), "{without} requests without a reconfiguration");
+    assert!(with <= without + 2, "{with} requests with a reconfiguration, {without} without");
 }
 
-/// Guards against a quota that is full again, or empty, after a reconfiguration.
+/// Guards against a reconfiguration that refills or empties the token bucket of a tenant.
 #[test]
-fn a_tenant_that_stays_keeps_its_bucket_and_a_new_one_has_a_full_one() {
+fn a_remaining_tenant_keeps_its_bucket_and_a_new_one_starts_full() {
     let tenants = vec![Tenant { quota_per_second: 3.0 }, Tenant { quota_per_second: 3.0 }];
     let config = Config { proxy_count: 1, over_quota_weight: 0.0, tenants, ..Config::example() };
-    // A request past its quota shows by the order of service.
-    let is_served_first = |previous_tenant: Option<usize>| {
+    // Whether the tenant is over its quota shows in the order of dispatch.
+    let is_dispatched_first = |previous_tenant: Option<usize>| {
         let mut host = Host::new(config.clone(), 4);
         host.update_endpoints(EndpointListUpdate::Snapshot, vec![backend(0, 0, 0)]);
         for _ in 0..8 {
@@ -242,16 +247,16 @@
         assert!(first == Some(without_tenant) || first == Some(of_tenant), "{:?}", host.last_actions);
         first == Some(of_tenant)
     };
-    // Newest first among equals: that of the tenant leads unless its quota is used up.
+    // Among equals the newest request is dispatched first: that of the tenant, unless it is over its quota.
     assert_eq!(
-        (is_served_first(Some(1)), is_served_first(Some(0)), is_served_first(None)),
+        (is_dispatched_first(Some(1)), is_dispatched_first(Some(0)), is_dispatched_first(None)),
         (false, true, true)
     );
 }
 
-/// Guards against a proxy that keeps its subset after the proxy count or its proxy index has changed.
+/// Guards against a proxy that keeps its subset after its proxy count or index has changed.
 #[test]
-fn the_proxy_count_and_index_come_into_force() {
+fn a_new_proxy_count_or_index_changes_the_subset() {
     let used = |host: &mut Host| {
         let chosen = serve(host, 60, 0, |_| 20_000);
         chosen.into_iter().collect::<BTreeSet<u32>>()
@@ -260,17 +265,17 @@
     host.update_endpoints(EndpointListUpdate::Snapshot, backends(60));
     assert!(used(&mut host).len() > 20);
     host.reconfigure(Config { proxy_count: 100, proxy_index: 7, ..host.config.clone() });
-    let (seventh, all) = (used(&mut host), host.backends.len());
-    assert!(seventh.len() <= 12, "{seventh:?} of {all}");
+    let (index_7, all) = (used(&mut host), host.backends.len());
+    assert!(index_7.len() <= 12, "{index_7:?} of {all}");
     host.reconfigure(Config { proxy_index: 8, ..host.config.clone() });
-    assert!(used(&mut host).is_disjoint(&seventh));
+    assert!(used(&mut host).is_disjoint(&index_7));
     host.reconfigure(Config { proxy_count: 3, proxy_index: 0, ..host.config.clone() });
     assert!(used(&mut host).len() > 20);
 }
 
-/// Guards against load shedding that stays for ever once a fleet is too small for it to change.
+/// Guards against load shedding that never ends after the fleet has become too small for admission control.
 #[test]
-fn a_fleet_that_shrinks_to_few_admits_all_again() {
+fn load_shedding_ends_when_the_fleet_becomes_small() {
     let mut host = Host::new(Config { proxy_count: 100, ..Config::example() }, 6);
     host.update_endpoints(EndpointListUpdate::Snapshot, backends(20));
     for _ in 0..200 {
@@ -280,24 +285,24 @@
     host.reconfigure(Config { proxy_count: 3, ..host.config.clone() });
     for _ in 0..50 {
         let id = host.arrive(0, 900_000);
-        assert_eq!(host.answer(id), None, "shed");
+        assert_eq!(host.answer(id), None, "the request was shed");
         host.serve_all(10_000);
     }
 }
 
-/// Guards against a subscription that is renewed by the interval of an old configuration.
+/// Guards against a subscription that is renewed by the poll interval of a replaced configuration.
 #[test]
-fn the_poll_interval_comes_into_force() {
+fn a_new_discovery_mode_or_poll_interval_is_applied() {
     let slow = Config { discovery: DiscoveryMode::Subscribe(Micros(20_000_000)), ..Config::example() };
     let mut host = Host::new(slow.clone(), 6);
     host.update_endpoints(EndpointListUpdate::Cached, vec![backend(0, 0, 0)]);
     assert_eq!(host.resubscriptions, 1);
     host.reconfigure(Config { discovery: DiscoveryMode::Subscribe(Micros(1_000_000)), ..slow });
     host.advance(700_000);
-    assert_eq!(host.resubscriptions, 2, "unanswered, it is renewed");
+    assert_eq!(host.resubscriptions, 2, "an unanswered call was not made again");
     host.reconfigure(Config { discovery: DiscoveryMode::Push, ..host.config.clone() });
     host.advance(5_000_000);
-    assert_eq!(host.resubscriptions, 2, "a pushed list is not subscribed to");
+    assert_eq!(host.resubscriptions, 2, "the balancer subscribed to a pushed list");
     host.reconfigure(Config {
         discovery: DiscoveryMode::Subscribe(Micros(1_000_000)),
         ..host.config.clone()
@@ -305,9 +310,9 @@
     assert_eq!(host.resubscriptions, 3);
 }
 
-/// Guards against an invalid configuration that comes into force in part.
+/// Guards against an invalid configuration that is applied in part.
 #[test]
-fn a_configuration_that_is_not_sound_changes_nothing() {
+fn an_invalid_configuration_changes_nothing() {
     let mut host = host(vec![class(Idempotency::Idempotent)]);
     let valid = host.config.clone();
     host.reconfigure_from(Config { classes: Vec::new(), ..valid.clone() }, Vec::new(), Vec::new());
--- a/tests/balancer/reconfiguration_invariants.rs
+++ b/tests/balancer/reconfiguration_invariants.rs
@@ -1,4 +1,4 @@
-//! The rules as invariants over generated sequences of events and configurations.
+//! Invariants of the balancer over generated sequences of events and configurations.
 
 use crate::support::{backend, class, AttemptId, Host};
 use load_balancer::{
@@ -8,19 +8,20 @@
 use proptest::prelude::*;
 use proptest::test_runner::{RngAlgorithm, TestRng, TestRunner};
 
-/// One thing that happens to a host; `usize` picks one of the attempts or requests that it can happen to.
+/// A step of a sequence. A `usize` selects, modulo their number, one of the attempts or requests to which the
+/// step can apply.
 #[derive(Clone, Debug)]
 enum Step {
-    /// Class, time left in µs.
+    /// A request arrives: class index, time left in µs.
     Arrive(usize, u64),
     End(usize, Outcome),
     Disconnect(usize),
-    /// µs.
+    /// Time passes, in µs.
     Advance(u64),
     Endpoint(u32, BackendState),
-    /// Options as bits, and the names of the classes.
+    /// A new configuration: options as bits, and the names of the classes.
     Reconfigure(u32, Vec<usize>),
-    /// A reconfiguration that names wrong previous classes.
+    /// A reconfiguration with invalid indices of previous classes.
     ReconfigureMalformed(Vec<usize>),
 }
 
@@ -50,7 +51,7 @@
     ]
 }
 
-/// The class of a name: another idempotency with other options.
+/// The class of a name; its idempotency changes with the options.
 fn class_named(name: usize, bits: u32) -> Class {
     let window = Micros(300_000);
     let idempotencies = [
@@ -70,7 +71,7 @@
     }
 }
 
-/// A configuration of these classes whose options are the bits of a number.
+/// A configuration with these classes and the options of `bits`.
 fn config_with(bits: u32, names: &[usize]) -> Config {
     let mut config = Config::example();
     config.classes = names.iter().map(|name| class_named(*name, bits)).collect();
@@ -123,23 +124,20 @@
                 host.reconfigure_from(config_with(*bits, &new), previous_classes, Vec::new());
                 names = new;
             }
-            Step::ReconfigureMalformed(numbers) => {
-                // Numbers that stand twice, that were never given, or too few of them.
-                let previous_classes = numbers.iter().map(|number| Some(ClassId(number * 3))).collect();
+            Step::ReconfigureMalformed(indices) => {
+                // Duplicate indices, unknown indices, or too few of them.
+                let previous_classes = indices.iter().map(|index| Some(ClassId(index * 3))).collect();
                 host.reconfigure_from(host.config.clone(), previous_classes, vec![Some(TenantId(9))]);
             }
         }
     }
     host.advance(3_000_000);
-    assert!(
-        host.requests.values().all(|request| request.answer.is_some()),
-        "a request was left without an answer"
-    );
+    assert!(host.requests.values().all(|request| request.answer.is_some()), "a request was not answered");
 }
 
-/// Guards against a sequence of events and reconfigurations that makes the balancer break a rule.
+/// Guards against a sequence of events and reconfigurations that violates an invariant of the balancer.
 #[test]
-fn the_rules_hold_while_configurations_come_and_go() {
+fn invariants_hold_across_reconfigurations() {
     let config = ProptestConfig { cases: 300, failure_persistence: None, ..ProptestConfig::default() };
     let mut runner = TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]));
     let all = (any::<u64>(), proptest::collection::vec(step(), 1..250));
--- a/tests/balancer/slow_start.rs
+++ b/tests/balancer/slow_start.rs
@@ -1,11 +1,11 @@
-//! What a backend is sent that has just started.
+//! The requests that a proxy sends to a warming backend.
 
 use crate::support::{backend, backends, host, serve};
 use load_balancer::{Backend, BackendId, Config, EndpointListUpdate, Micros, Outcome};
 
-/// Guards against a warming backend that is sent more than it can bear inside the overload window.
+/// Guards against a proxy that overloads a warming backend within the overload window.
 #[test]
-fn a_warming_backend_gets_less_than_its_budget() {
+fn a_warming_backend_receives_less_than_its_limit() {
     let config = Config {
         proxy_count: 1,
         slow_start_initial_fraction: 0.1,
@@ -16,15 +16,15 @@
     serve(&mut host, 200, 0, |_| 20_000);
     let warming = Backend { started_at: Some(host.now), ..backend(9, 0, 0) };
     host.update_endpoints(EndpointListUpdate::Delta, vec![warming]);
-    let chosen = serve(&mut host, 100, 0, |_| 20_000); // two seconds, one overload window
+    let chosen = serve(&mut host, 100, 0, |_| 20_000); // 2 s, one overload window
     let sent = chosen.iter().filter(|id| **id == 9).count();
-    // A warm backend serves 50 to 67 a second: at a tenth, twice that over two seconds, 27 at most.
-    assert!((1..=14).contains(&sent), "{sent} of 100 went to the warming backend");
+    // A warm backend serves 50 to 67 requests per second: at a tenth of it, times 2, over 2 s, at most 27.
+    assert!((1..=14).contains(&sent), "{sent} of 100 requests went to the warming backend");
 }
 
-/// Guards against a burst to warming backends that each proxy alone would take for harmless.
+/// Guards against proxies that each send a burst within the limit and together exceed it.
 #[test]
-fn a_burst_cannot_overload_a_warming_backend() {
+fn a_burst_does_not_overload_a_warming_backend() {
     let config = Config {
         proxy_count: 3,
         slow_start_initial_fraction: 0.1,
@@ -43,18 +43,19 @@
         sent += host.in_flight().len();
         host.end_all(|_| Outcome::Success);
     }
-    // Served in 20 ms, 100 a second at most: at a tenth, twice that, over two seconds, a third is 13 each.
+    // At most 100 requests per second: at a tenth of it, times 2, over 2 s, a third per proxy is 13 for each
+    // backend.
     let attempts = || {
         let all = host.requests.values().flat_map(|request| &request.attempts);
         all.filter(|attempt| Some(attempt.at) >= started_at)
     };
     let most = (0..12).map(|id| attempts().filter(|attempt| attempt.backend == BackendId(id)).count()).max();
-    assert!(sent >= 1 && most <= Some(13), "{sent} sent, {most:?} to one warming backend");
+    assert!(sent >= 1 && most <= Some(13), "{sent} requests sent, at most {most:?} to one warming backend");
 }
 
-/// Guards against a warming backend that is preferred because the live weights of all warm ones are low.
+/// Guards against a warming backend that is preferred because the live weights of all warm backends are low.
 #[test]
-fn many_proxies_do_not_overload_an_idle_warming_backend_beside_loaded_ones() {
+fn an_idle_warming_backend_among_loaded_ones_is_not_preferred() {
     let duration = Micros(1_000_000_000);
     let config = Config {
         proxy_count: 126,
@@ -72,6 +73,6 @@
     let sent = serve(&mut host, 300, 0, |_| 30_000).iter().filter(|id| **id == 36).count();
     assert!(
         sent <= 5,
-        "{sent} of 300 went to the warming one, while its share of the capacity is under a hundredth"
+        "{sent} of 300 requests went to the warming backend, which has under 1 % of the capacity"
     );
 }
--- a/tests/balancer/subscription.rs
+++ b/tests/balancer/subscription.rs
@@ -1,18 +1,18 @@
-//! When the balancer subscribes to the endpoint list.
+//! The subscription to the endpoint list.
 
 use crate::support::{backends, Host};
 use load_balancer::{Config, DiscoveryMode, EndpointListUpdate, Event, Micros};
 
-/// Guards against a subscription that is not renewed after a loss, or is renewed without one.
+/// Guards against a subscription that is not renewed after a loss, or is renewed without a loss.
 #[test]
-fn discovery_is_subscribed_to_at_once_and_again_after_a_loss() {
+fn the_balancer_subscribes_at_start_and_again_after_a_loss() {
     let config = Config { discovery: DiscoveryMode::Subscribe(Micros(10_000_000)), ..Config::example() };
     let mut host = Host::new(config, 3);
     host.update_endpoints(EndpointListUpdate::Cached, backends(2));
     assert_eq!(host.resubscriptions, 1);
     host.update_endpoints(EndpointListUpdate::Delta, backends(3));
     host.advance(8_000_000);
-    assert_eq!(host.resubscriptions, 1, "a subscription in force is not renewed");
+    assert_eq!(host.resubscriptions, 1, "an established subscription was renewed");
     host.handle(Event::EndpointListChanged {
         update: EndpointListUpdate::SubscriptionLost,
         backends: Vec::new(),
@@ -20,5 +20,5 @@
     host.advance(400_000);
     assert_eq!(host.resubscriptions, 2);
     host.advance(6_000_000);
-    assert_eq!(host.resubscriptions, 3, "an unanswered call is made again");
+    assert_eq!(host.resubscriptions, 3, "an unanswered call was not made again");
 }
