--- a/src/balancer/outlier_detection.rs
+++ b/src/balancer/outlier_detection.rs
@@ -109,7 +109,7 @@
 }
 
 /// An ejection of a backend, for the operators' log.
-pub(super) struct Ejected {
+pub(super) struct Ejection {
     pub backend: BackendId,
     pub outcome: Outcome,
 }
@@ -118,7 +118,7 @@
 /// it.
 pub(super) fn record_outcome(
     fleet: &mut Fleet, now: Time, attempt: &InFlightAttempt, outcome: Outcome, random: &mut Random,
-) -> Option<Ejected> {
+) -> Option<Ejection> {
     let health = &mut fleet.backends.get_mut(&attempt.backend)?.health;
     health.record_reachability(outcome);
     let should_eject = match outcome {
@@ -127,8 +127,8 @@
             false
         }
         Outcome::Cancelled | Outcome::NotSent | Outcome::Rejected => false,
-        // A time-out is not the backend's fault if it has answered other requests since the attempt was sent:
-        // the request may be heavy.
+        // A time-out is not the backend's fault if it has answered another request since the attempt was
+        // sent, or at that very time: the request may be heavy.
         Outcome::TimedOut => health.last_response < attempt.sent_at,
         Outcome::ErrorResponse | Outcome::ConnectionReset | Outcome::ConnectFailed => {
             health.record_failure(now, outcome);
@@ -205,7 +205,7 @@
 /// Ejects a backend; returns `None` if it is ejected already.
 fn eject(
     fleet: &mut Fleet, now: Time, id: BackendId, outcome: Outcome, random: &mut Random,
-) -> Option<Ejected> {
+) -> Option<Ejection> {
     let base_secs = BASE_EJECTION_TIME.secs() * (MIN_JITTER_FACTOR + JITTER_FACTOR_SPREAD * random.unit());
     let backend = fleet.backends.get_mut(&id)?;
     let health = &mut backend.health;
@@ -217,7 +217,7 @@
     health.ejections += 1;
     health.probation_successes_left = if outcome == Outcome::ErrorResponse { PROBATION_SUCCESSES } else { 1 };
     backend.readiness = 0.0;
-    Some(Ejected { backend: id, outcome })
+    Some(Ejection { backend: id, outcome })
 }
 
 /// Ends ejections whose time has passed, and updates the health factor of every backend.
--- a/tests/balancer/reconfiguration.rs
+++ b/tests/balancer/reconfiguration.rs
@@ -215,7 +215,7 @@
 
 /// Guards against a reconfiguration that refills or empties the token bucket of a tenant.
 #[test]
-fn a_remaining_tenant_keeps_its_bucket_and_a_new_one_starts_full() {
+fn a_remaining_tenant_keeps_its_bucket_and_new_ones_start_full() {
     let tenants = vec![Tenant { quota_per_second: 3.0 }, Tenant { quota_per_second: 3.0 }];
     let config = Config { proxy_count: 1, over_quota_weight: 0.0, tenants, ..Config::example() };
     // Whether the tenant is over its quota shows in the order of dispatch.
