--- a/src/balancer/attempt_outcome.rs
+++ b/src/balancer/attempt_outcome.rs
@@ -1,6 +1,7 @@
-//! The end of an attempt: what it tells of backends and classes, and what follows for its request.
+//! End of an attempt: updates the statistics of backends, kinds and classes, then closes the request or
+//! queues it for a retry.
 
-use super::admission::prompt_limit;
+use super::admission::slow_threshold;
 use super::request::{AttemptId, InFlightAttempt};
 use super::{outlier_detection, Balancer};
 use crate::action::LogEvent;
@@ -8,7 +9,7 @@
 use crate::units::{AttemptNumber, ClassId, KindId, Micros, RequestId, Time};
 
 /// Guards a division by a latency.
-const LEAST_LATENCY_SECS: f64 = 1e-6;
+const MIN_LATENCY_SECS: f64 = 1e-6;
 
 impl Balancer {
     pub(super) fn response_started(&mut self, request: RequestId, attempt: AttemptNumber) {
@@ -18,51 +19,51 @@
         }
     }
 
-    /// Learns from an attempt that ended; its request is closed, or queued for a retry.
+    /// Records an ended attempt, then closes its request or queues it for a retry.
     pub(super) fn attempt_ended(&mut self, now: Time, result: AttemptResult) {
         let id = result.request;
         let ended = AttemptId { request: id, number: result.attempt };
         let Some(attempt) = self.attempts.remove(&ended) else { return };
-        let outcome = judged_outcome(&result, &attempt);
-        let tells_promptness = matches!(outcome, Outcome::Success | Outcome::TimedOut);
-        if tells_promptness && !attempt.counted_as_slow {
-            let is_prompt = outcome == Outcome::Success && result.latency < self.prompt_limit_of(&attempt);
-            self.record_promptness(is_prompt);
+        let outcome = effective_outcome(&result, &attempt);
+        let is_latency_sample = matches!(outcome, Outcome::Success | Outcome::TimedOut);
+        if is_latency_sample && !attempt.counted_as_slow {
+            let is_prompt = outcome == Outcome::Success && result.latency < self.slow_threshold_of(&attempt);
+            self.adjust_admission(is_prompt);
         }
         if let Some(backend) = self.fleet.backends.get_mut(&attempt.backend) {
             backend.attempt_ended();
         }
-        self.learn(now, &attempt, outcome, result.latency);
+        self.record_outcome(now, &attempt, outcome, result.latency);
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.attempt_ended(result.attempt, outcome.never_executed());
         if result.answered || outcome == Outcome::Success {
             let on_time = outcome == Outcome::Success && now <= request.objective_at;
             self.close(id, Some(on_time));
         } else if !request.is_in_flight() {
-            self.queue.push_once(id);
+            self.queue.push_if_absent(id);
         }
     }
 
-    /// Until when an attempt's answer is prompt, from its dispatch.
-    pub(super) fn prompt_limit_of(&self, attempt: &InFlightAttempt) -> Micros {
+    /// Latency from which a response to the attempt counts as slow.
+    pub(super) fn slow_threshold_of(&self, attempt: &InFlightAttempt) -> Micros {
         let backend = self.fleet.backends.get(&attempt.backend);
         let kind = backend.and_then(|backend| self.fleet.kind_of(backend));
         let unloaded_secs = kind.and_then(|kind| kind.speed.unloaded_secs());
         let work = self.classes.relative_work(attempt.class);
-        prompt_limit(attempt.class_objective, unloaded_secs.map_or(0.0, |secs| secs * work))
+        slow_threshold(attempt.class_objective, unloaded_secs.map_or(0.0, |secs| secs * work))
     }
 
-    fn record_promptness(&mut self, is_prompt: bool) {
-        self.admission.record_promptness(&self.config, self.admitted_rate.per_second(), is_prompt);
+    fn adjust_admission(&mut self, is_prompt: bool) {
+        self.admission.record_response(&self.config, self.admitted_rate.per_second(), is_prompt);
     }
 
-    /// What an outcome tells of its backend, kind and class.
-    fn learn(&mut self, now: Time, attempt: &InFlightAttempt, outcome: Outcome, latency: Micros) {
+    /// Records the outcome of an attempt for its backend, kind and class.
+    fn record_outcome(&mut self, now: Time, attempt: &InFlightAttempt, outcome: Outcome, latency: Micros) {
         let Some(backend) = self.fleet.backends.get_mut(&attempt.backend) else { return };
         if outcome == Outcome::Success {
             backend.concurrency.record_latency(latency);
             let kind = backend.record.kind;
-            self.learn_speed(kind, attempt.class, latency);
+            self.record_served_latency(kind, attempt.class, latency);
         }
         let ejected =
             outlier_detection::record_outcome(&mut self.fleet, now, attempt, outcome, &mut self.random);
@@ -73,24 +74,26 @@
         }
     }
 
-    /// Only served requests tell a speed: errors, time-outs and rejections do not.
-    fn learn_speed(&mut self, kind: KindId, class: ClassId, latency: Micros) {
-        let secs = latency.secs().max(LEAST_LATENCY_SECS);
+    /// Records the latency of a served request. Errors, timeouts and rejections are excluded, as their
+    /// latency does not depend on the service rate.
+    fn record_served_latency(&mut self, kind: KindId, class: ClassId, latency: Micros) {
+        let secs = latency.secs().max(MIN_LATENCY_SECS);
         self.classes.record_latency(class, secs);
-        let secs_of_mean_work = self.classes.scaled_to_mean_work(class, secs);
-        self.fleet.kinds.entry(kind).or_default().speed.record_latency(secs_of_mean_work);
+        let scaled_secs = self.classes.scaled_to_mean_work(class, secs);
+        self.fleet.kinds.entry(kind).or_default().speed.record_latency(scaled_secs);
     }
 
-    /// Counts attempts that are past their prompt limit now: an overloaded backend answers only much later.
+    /// Counts attempts in flight past their slow threshold as slow responses: an overloaded backend responds
+    /// only much later.
     pub(super) fn count_slow_attempts(&mut self, now: Time) {
         let mut attempts = std::mem::take(&mut self.attempts);
         for attempt in attempts.values_mut().filter(|attempt| !attempt.counted_as_slow) {
-            let limit = attempt.sent_at + self.prompt_limit_of(attempt);
-            if now >= limit {
+            let slow_at = attempt.sent_at + self.slow_threshold_of(attempt);
+            if now >= slow_at {
                 attempt.counted_as_slow = true;
-                self.record_promptness(false);
+                self.adjust_admission(false);
             } else {
-                self.wakeup.schedule(limit);
+                self.wakeup.schedule(slow_at);
             }
         }
         self.attempts = attempts;
@@ -106,9 +109,9 @@
     }
 }
 
-/// An attempt that was cancelled after its objective, as its client left, counts against the backend like a
-/// time-out.
-fn judged_outcome(result: &AttemptResult, attempt: &InFlightAttempt) -> Outcome {
+/// The outcome by which the backend is judged. An attempt cancelled after its latency objective, because the
+/// client disconnected, counts as a timeout.
+fn effective_outcome(result: &AttemptResult, attempt: &InFlightAttempt) -> Outcome {
     if result.outcome == Outcome::Cancelled && result.latency > attempt.class_objective {
         Outcome::TimedOut
     } else {
--- a/src/balancer/dispatching.rs
+++ b/src/balancer/dispatching.rs
@@ -1,8 +1,8 @@
-//! The dispatch of queued requests, in order of priority, as far as backends have capacity.
+//! Dispatch of queued requests to backends, in order of priority.
 
 use super::priority::{class_priorities, is_low_priority};
 use super::request::{AttemptId, InFlightAttempt, SentAttempt};
-use super::request_queue::Queued;
+use super::request_queue::QueuedRequest;
 use super::selection::Selection;
 use super::slow_start::SlowStart;
 use super::{retry, Balancer};
@@ -10,7 +10,7 @@
 use crate::units::{BackendId, RequestId, Time};
 
 impl Balancer {
-    /// Dispatches what is queued, in order of priority, as far as backends have capacity.
+    /// Dispatches queued requests in order of priority. Those that find no backend with capacity stay queued.
     pub(super) fn dispatch_queued(&mut self, now: Time) {
         if self.queue.has_nothing_to_dispatch() {
             return;
@@ -24,15 +24,15 @@
         }
     }
 
-    fn take_queue_in_order(&mut self) -> Vec<Queued> {
+    fn take_queue_in_order(&mut self) -> Vec<QueuedRequest> {
         let priorities = class_priorities(&self.config, &self.classes);
         let mut order = Vec::new();
         for id in self.queue.take_all() {
             if let Some(request) = self.requests.get(&id) {
-                order.push(Queued::new(id, request, &priorities));
+                order.push(QueuedRequest::new(id, request, &priorities));
             }
         }
-        order.sort_by(Queued::dispatch_order);
+        order.sort_by(QueuedRequest::dispatch_order);
         order
     }
 
@@ -41,7 +41,7 @@
         let is_retry = !request.is_unsent();
         let budget_allows = !is_retry || self.retry_budget.allows_retry();
         if !budget_allows || !retry::may_dispatch(&self.config, now, request) {
-            // Else the attempt in flight decides: when it ends, the request is closed or queued again.
+            // If an attempt is in flight, its end closes the request or queues it again.
             if !request.is_in_flight() {
                 self.give_up(id);
             }
@@ -74,7 +74,7 @@
             proxy_limit: &self.proxy_limit,
             in_flight: self.attempts.len(),
         };
-        selection.pick(request, &mut self.random)
+        selection.select_backend(request, &mut self.random)
     }
 
     fn dispatch(&mut self, now: Time, id: RequestId, backend_id: BackendId) {
@@ -83,10 +83,10 @@
         if !request.is_unsent() {
             self.retry_budget.withdraw();
         }
-        let number = request.next_attempt();
-        let record = backend.record.clone();
+        let number = request.next_attempt_number();
+        let endpoint = backend.record.clone();
         request.attempts.push(SentAttempt {
-            backend: record,
+            backend: endpoint,
             sent_at: now,
             in_flight: true,
             never_executed: false,
@@ -96,14 +96,14 @@
         let attempt = InFlightAttempt {
             backend: backend_id,
             class: request.class,
-            class_objective: request.terms.latency_objective,
+            class_objective: request.class_config.latency_objective,
             sent_at: now,
             counted_as_slow: false,
         };
-        // Where the window is no longer than the allowance for a stall of the host, no retry can follow this
-        // attempt, and it may be written at any time.
+        // If the idempotency window is no longer than the allowance for host stalls, the deadline has
+        // passed already. No retry can then follow this attempt, so it may be written at any time.
         let write_by = retry::idempotency_deadline(&self.config, request).filter(|end| *end > now);
-        self.wakeup.schedule(now + self.prompt_limit_of(&attempt));
+        self.wakeup.schedule(now + self.slow_threshold_of(&attempt));
         self.attempts.insert(AttemptId { request: id, number }, attempt);
         self.actions.push(Action::Dispatch { request: id, backend: backend_id, write_by });
     }
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -1,24 +1,23 @@
-//! The decisions of one proxy: which requests are admitted, which backend each attempt goes to, when it is
-//! retried, hedged or given up. A state machine without clock, socket or thread: [`Balancer::handle`] takes
-//! one event and yields the actions that it calls for.
+//! The load-balancing decisions of one proxy: which requests are admitted, which backend each attempt is sent
+//! to, and when a request is retried, hedged or given up.
 //!
-//! [`Balancer`] holds the parts and passes events to them in order. Each part is a module with its own state
-//! and rules:
+//! [`Balancer`] is a state machine without clock, sockets or threads: [`Balancer::handle`] takes one event
+//! and returns the resulting actions. It owns the state of the submodules and forwards each event to them:
 //!
 //! | concern | module |
 //! | --- | --- |
-//! | endpoint list, and calls for it | `fleet`, `subscription` |
-//! | traffic share of kinds | `halb`, `speed_estimation`, `share_update` |
-//! | traffic share of backends | `traffic_allocation`, `zone_preference` |
-//! | which backends this proxy uses | `subset`, `rotation` |
+//! | endpoint list and discovery calls | `fleet`, `subscription` |
+//! | traffic share of each kind | `halb`, `speed_estimation`, `share_update` |
+//! | traffic share of each backend | `traffic_allocation`, `zone_preference` |
+//! | backends that this proxy uses | `subset`, `rotation` |
 //! | outliers and warming backends | `outlier_detection`, `slow_start` |
 //! | admission, priorities, quotas | `admission`, `priority`, `quota`, `classes` |
-//! | the way of a request | `request_arrival`, `dispatching`, `attempt_outcome` |
-//! | its end | `request_review`, `request_completion` |
-//! | where an attempt goes | `request`, `request_queue`, `selection`, `concurrency_limit` |
-//! | retries, hedging, giving up | `retry`, `deadlines` |
-//! | replaced configuration | `reconfiguration` |
-//! | the next wake-up, log events | `wakeup`, `operator_log` |
+//! | lifecycle of a request | `request_arrival`, `dispatching`, `attempt_outcome` |
+//! | end of a request | `request_review`, `request_completion` |
+//! | queueing and backend selection | `request`, `request_queue`, `selection`, `concurrency_limit` |
+//! | retries, hedging, deadlines | `retry`, `deadlines` |
+//! | configuration changes | `reconfiguration` |
+//! | timer and log events | `wakeup`, `operator_log` |
 
 mod admission;
 mod attempt_outcome;
@@ -73,10 +72,10 @@
 use subscription::Subscription;
 use wakeup::Wakeup;
 
-/// When a rejected client may return: until then the rate that overloaded the backends still counts.
+/// Delay after which a rejected client may retry. Before that, the rate estimate still reflects the overload.
 const RETRY_AFTER: Micros = RATE_MEMORY;
 
-/// The decisions of one proxy. Give it every event in order; it answers with actions.
+/// The load-balancing decisions of one proxy, driven by [`Event`]s passed in order of time.
 pub struct Balancer {
     config: Config,
     random: Random,
@@ -88,14 +87,14 @@
     unresponsive_backends: UnresponsiveBackends,
     subscription: Subscription,
     proxy_limit: ProxyLimit,
-    /// Requests that are owed an answer.
+    /// Pending requests: those without a final response.
     requests: BTreeMap<RequestId, Request>,
     queue: RequestQueue,
-    /// Attempts in flight, with or without their request.
+    /// Attempts in flight, including those whose request is closed.
     attempts: BTreeMap<AttemptId, InFlightAttempt>,
-    /// Requests a second that admission control lets pass, also those that then find no allocated capacity.
+    /// Rate of requests that pass admission control, including those rejected for lack of allocated capacity.
     admitted_rate: Rate,
-    /// The traffic shares are updated this often: the shortest latency objective.
+    /// Interval between updates of the traffic shares: the shortest latency objective of all classes.
     update_interval: Micros,
     updated_at: Time,
     wakeup: Wakeup,
@@ -104,8 +103,8 @@
 }
 
 impl Balancer {
-    /// A proxy that knows nothing yet but its configuration. Fails where that is not
-    /// [sound](Config::validate). The same seed and events give the same actions.
+    /// Creates a balancer with an empty endpoint list, or fails if `config` is not
+    /// [valid](Config::validate). The same configuration, seed and events yield the same actions.
     pub fn new(config: Config, seed: u64) -> Result<Balancer, ConfigError> {
         config.validate()?;
         Ok(Balancer {
@@ -131,13 +130,13 @@
         })
     }
 
-    /// When a client that is rejected now may return, from now.
+    /// Delay after which a client that is rejected now may retry.
     pub fn retry_after(&self) -> Micros {
         RETRY_AFTER
     }
 
-    /// Takes one event that happened at `now` and adds the actions it calls for. Time does not go back from
-    /// one event to the next.
+    /// Processes one event that happened at `now` and appends the resulting actions. `now` must not decrease
+    /// from one call to the next.
     pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         if let Event::TimerFired { token } = event {
             if !self.wakeup.timer_fired(token) {
@@ -157,7 +156,7 @@
     }
 
     fn apply(&mut self, now: Time, event: Event) {
-        if frees_capacity(&event) {
+        if may_free_capacity(&event) {
             self.queue.unblock();
         }
         match event {
@@ -176,7 +175,7 @@
 
     fn endpoint_list_changed(&mut self, now: Time, update: EndpointListUpdate, list: Vec<Backend>) {
         if self.subscription.list_arrived(&self.config, now, update, &mut self.random) {
-            self.wake_for_subscription();
+            self.schedule_subscription_call();
             self.log.push(now, LogEvent::SubscriptionLost, &mut self.actions);
         }
         if self.fleet.apply(update, list) {
@@ -187,31 +186,31 @@
 
     fn shutdown_started(&mut self, now: Time, deadline: Time) {
         for request in self.requests.values_mut() {
-            request.shorten(deadline);
+            request.cap_deadline(deadline);
         }
         self.wakeup.schedule(now);
     }
 
-    /// What is due by time alone.
+    /// Runs what is due without an event: discovery calls, checks of attempts, backends and requests.
     fn run_due_work(&mut self, now: Time) {
         if self.subscription.take_due_call(self.config.discovery, now) {
             self.actions.push(Action::Resubscribe);
         }
-        self.wake_for_subscription();
+        self.schedule_subscription_call();
         self.count_slow_attempts(now);
         self.find_unresponsive_backends(now);
-        self.review_requests(now);
+        self.check_requests(now);
     }
 
-    fn wake_for_subscription(&mut self) {
+    fn schedule_subscription_call(&mut self) {
         if let Some(at) = self.subscription.next_call() {
             self.wakeup.schedule(at);
         }
     }
 }
 
-/// Whether an event may free capacity for a queued request that found none before.
-fn frees_capacity(event: &Event) -> bool {
+/// Whether a queued request that found no capacity may find some after the event.
+fn may_free_capacity(event: &Event) -> bool {
     !matches!(event, Event::RequestArrived(_) | Event::TimerFired { .. })
 }
 
--- a/src/balancer/quota.rs
+++ b/src/balancer/quota.rs
@@ -1,35 +1,37 @@
-//! Tenants' quotas: requests past them are served with less weight. Each proxy grants its equal part of a
-//! quota.
+//! Tenant quotas: requests over quota have less weight. Each proxy enforces an equal part of each quota.
 
 use crate::config::Config;
 use crate::estimators::TokenBucket;
 use crate::units::{TenantId, Time};
 
-/// What each tenant has left of its quota at this proxy.
+/// The token bucket of each tenant, by its number, for this proxy's part of the quota.
 pub(super) struct Quotas {
     buckets: Vec<TokenBucket>,
 }
 
 impl Quotas {
-    pub fn new(tenants: usize) -> Quotas {
-        Quotas { buckets: (0..tenants).map(|_| TokenBucket::default()).collect() }
+    pub fn new(tenant_count: usize) -> Quotas {
+        Quotas { buckets: (0..tenant_count).map(|_| TokenBucket::default()).collect() }
     }
 
-    /// Counts a request; true if it is past its tenant's quota.
+    /// Charges a request to its tenant's quota; true if the quota is used up. A request without a known
+    /// tenant has no quota.
     pub fn is_exceeded(&mut self, config: &Config, now: Time, tenant: Option<TenantId>) -> bool {
         let Some(TenantId(index)) = tenant else { return false };
-        let Some((terms, bucket)) = config.tenants.get(index).zip(self.buckets.get_mut(index)) else {
+        let Some((tenant, bucket)) = config.tenants.get(index).zip(self.buckets.get_mut(index)) else {
             return false;
         };
-        !bucket.take(now, terms.quota_per_second / f64::from(config.proxy_count))
+        !bucket.take(now, tenant.quota_per_second / f64::from(config.proxy_count))
     }
 
-    /// Other tenants come into force; `previous` names for each its number so far.
-    pub fn replace(&mut self, tenants: usize, previous: &[Option<TenantId>]) {
-        let mut old = std::mem::take(&mut self.buckets);
-        for tenant in 0..tenants {
-            let before = previous.get(tenant).copied().flatten();
-            let kept = before.and_then(|before| old.get_mut(before.0)).map(std::mem::take);
+    /// Replaces the tenants. `previous` holds the former number of each new tenant, whose bucket is kept, or
+    /// `None` for a tenant that was not there before.
+    pub fn replace(&mut self, tenant_count: usize, previous: &[Option<TenantId>]) {
+        let mut old_buckets = std::mem::take(&mut self.buckets);
+        for tenant in 0..tenant_count {
+            let old_number = previous.get(tenant).copied().flatten();
+            let kept =
+                old_number.and_then(|old_number| old_buckets.get_mut(old_number.0)).map(std::mem::take);
             self.buckets.push(kept.unwrap_or_default());
         }
     }
--- a/src/balancer/request.rs
+++ b/src/balancer/request.rs
@@ -1,55 +1,54 @@
-//! Requests that are owed an answer, and their attempts.
+//! Pending requests and their attempts.
 
 use crate::backend::Backend;
 use crate::config::Class;
 use crate::units::{AttemptNumber, BackendId, ClassId, Micros, RequestId, Time};
 
-/// An attempt as its request remembers it, also after its end.
+/// An attempt of a pending request, in flight or ended.
 pub(super) struct SentAttempt {
-    /// The backend as the endpoint list described it at the dispatch.
+    /// Entry of the backend in the endpoint list at the time of dispatch.
     pub backend: Backend,
     pub sent_at: Time,
     pub in_flight: bool,
-    /// Its outcome proves that the backend did not execute it.
+    /// The outcome proves that the backend did not execute the request.
     pub never_executed: bool,
 }
 
-/// A request that is owed an answer.
+/// A request that has no final response yet.
 pub(super) struct Request {
-    /// Number of its class under the configuration in force.
+    /// Index into `ClassTable::all`; a reconfiguration renumbers it.
     pub class: ClassId,
-    /// Its class as it was on arrival: a later configuration neither makes a retry harmless nor forbids one.
-    pub terms: Class,
-    /// Attempts allowed on arrival.
+    /// Configuration of the class at arrival. A later reconfiguration neither permits nor forbids retries of
+    /// this request.
+    pub class_config: Class,
+    /// Limit on attempts, as configured at arrival.
     pub max_attempts: u32,
     pub arrived_at: Time,
-    /// When its latency objective is over, extended by the work that its client expects.
+    /// End of the latency objective, including the extension for the work that the client expects.
     pub objective_at: Time,
     pub deadline: Time,
-    /// Its value relative to an original request within quota, from 0 to 1; see `priority`.
+    /// Value relative to an original request within quota, from 0 to 1; see `priority`.
     pub relative_value: f64,
-    /// Its answer has begun to stream to the client.
+    /// The response is being streamed to the client.
     pub is_streaming: bool,
     pub attempts: Vec<SentAttempt>,
 }
 
 impl Request {
-    /// Some attempt has not ended.
     pub fn is_in_flight(&self) -> bool {
         self.attempts.iter().any(|attempt| attempt.in_flight)
     }
 
-    /// Nothing of it was dispatched yet.
+    /// No attempt was dispatched yet.
     pub fn is_unsent(&self) -> bool {
         self.attempts.is_empty()
     }
 
-    /// The number of its next attempt.
-    pub fn next_attempt(&self) -> AttemptNumber {
+    pub fn next_attempt_number(&self) -> AttemptNumber {
         AttemptNumber(self.attempts.len() as u32)
     }
 
-    /// Notes how an attempt ended.
+    /// Records the end of an attempt.
     pub fn attempt_ended(&mut self, number: AttemptNumber, never_executed: bool) {
         if let Some(attempt) = self.attempts.get_mut(number.0 as usize) {
             attempt.in_flight = false;
@@ -57,8 +56,8 @@
         }
     }
 
-    /// The graceful shutdown allows no answer after `deadline`.
-    pub fn shorten(&mut self, deadline: Time) {
+    /// Moves the deadline, and the end of the latency objective, to `deadline` at the latest.
+    pub fn cap_deadline(&mut self, deadline: Time) {
         if self.deadline > deadline {
             self.objective_at = self.objective_at.min(deadline);
             self.deadline = deadline;
@@ -66,22 +65,22 @@
     }
 }
 
-/// Names an attempt.
+/// Identifies an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct AttemptId {
     pub request: RequestId,
     pub number: AttemptNumber,
 }
 
-/// An attempt in flight, which may outlast its request.
+/// An attempt in flight. It can outlive its request.
 pub(super) struct InFlightAttempt {
     pub backend: BackendId,
-    /// Number of its class under the configuration in force.
+    /// Index into `ClassTable::all`; a reconfiguration renumbers it.
     pub class: ClassId,
-    /// The latency objective of its class on arrival: what backends are judged by, whatever one client
-    /// expects.
+    /// Latency objective of the class when the request arrived, without the extension for the work that the
+    /// client expects. Backends are judged by this.
     pub class_objective: Micros,
     pub sent_at: Time,
-    /// It has counted as a slow answer in admission control.
+    /// Admission control has already counted it as a slow response.
     pub counted_as_slow: bool,
 }
--- a/src/balancer/request_queue.rs
+++ b/src/balancer/request_queue.rs
@@ -1,12 +1,12 @@
-//! Admitted requests that wait for a dispatch: highest priority first, and within one priority the newest
-//! first, as the oldest is the most likely to miss its deadline anyway.
+//! The queue of admitted requests that wait for dispatch: highest priority first, and within one priority the
+//! newest first, as the oldest is the most likely to miss its deadline anyway.
 
 use super::priority::is_low_priority;
 use super::request::Request;
 use crate::units::{RequestId, Time};
 
-/// A request in the order of dispatch.
-pub(super) struct Queued {
+/// A queued request with the keys of the dispatch order.
+pub(super) struct QueuedRequest {
     pub request: RequestId,
     priority: f64,
     arrived_at: Time,
@@ -14,8 +14,9 @@
     is_low_priority: bool,
 }
 
-/// The first attempts that found no capacity since the last event that could free some. Trying each again
-/// would cost much processor time in a long queue. Retries are skipped only with everything else.
+/// Which first attempts found no capacity since the last event that could free some. They are skipped until
+/// the next such event, which saves CPU time when the queue is long. A retry is still tried, unless the
+/// queue is skipped as a whole.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 enum Blocked {
     #[default]
@@ -24,7 +25,7 @@
     Everything,
 }
 
-/// Requests that wait, and what is known of the capacity for them.
+/// Queued requests, and which of them are known to find no capacity.
 #[derive(Default)]
 pub(super) struct RequestQueue {
     waiting: Vec<RequestId>,
@@ -40,8 +41,7 @@
         self.waiting.push(request);
     }
 
-    /// Adds a request that may be waiting already.
-    pub fn push_once(&mut self, request: RequestId) {
+    pub fn push_if_absent(&mut self, request: RequestId) {
         if !self.contains(request) {
             self.push(request);
         }
@@ -51,25 +51,24 @@
         self.waiting.retain(|waiting| *waiting != request);
     }
 
-    /// There may be capacity again.
+    /// Makes every queued request dispatchable again, as capacity may have become free.
     pub fn unblock(&mut self) {
         self.blocked = Blocked::Nothing;
     }
 
-    /// Nothing waits, or nothing can be dispatched, retries included, before the next event that frees
-    /// capacity.
+    /// Whether no request, retries included, can be dispatched before the next event that may free capacity.
     pub fn has_nothing_to_dispatch(&self) -> bool {
         self.waiting.is_empty() || self.blocked == Blocked::Everything
     }
 
-    /// A first attempt of that priority found no capacity.
+    /// Called when a first attempt of that priority found no capacity.
     pub fn block(&mut self, is_low_priority: bool) {
         let blocked = if is_low_priority { Blocked::LowPriority } else { Blocked::Everything };
         self.blocked = self.blocked.max(blocked);
     }
 
     /// Whether a request is known to find no capacity.
-    pub fn is_blocked(&self, queued: &Queued) -> bool {
+    pub fn is_blocked(&self, queued: &QueuedRequest) -> bool {
         match self.blocked {
             Blocked::Nothing => false,
             Blocked::LowPriority => !queued.is_retry && queued.is_low_priority,
@@ -77,15 +76,15 @@
         }
     }
 
-    /// Takes out all requests that wait, some of which may have been closed.
+    /// Removes and returns all queued requests. Some may be closed already.
     pub fn take_all(&mut self) -> Vec<RequestId> {
         std::mem::take(&mut self.waiting)
     }
 }
 
-impl Queued {
-    pub fn new(id: RequestId, request: &Request, class_priorities: &[f64]) -> Queued {
-        Queued {
+impl QueuedRequest {
+    pub fn new(id: RequestId, request: &Request, class_priorities: &[f64]) -> QueuedRequest {
+        QueuedRequest {
             request: id,
             priority: class_priorities[request.class.0] * request.relative_value,
             arrived_at: request.arrived_at,
@@ -94,8 +93,8 @@
         }
     }
 
-    /// Highest priority first, inside it the newest first: an old one is more likely late whatever is done.
-    pub fn dispatch_order(&self, other: &Queued) -> std::cmp::Ordering {
+    /// Orders requests for dispatch: by descending priority, then newest first.
+    pub fn dispatch_order(&self, other: &QueuedRequest) -> std::cmp::Ordering {
         let by_priority = other.priority.total_cmp(&self.priority);
         by_priority.then(other.arrived_at.cmp(&self.arrived_at)).then(self.request.cmp(&other.request))
     }
--- a/src/balancer/selection.rs
+++ b/src/balancer/selection.rs
@@ -1,6 +1,6 @@
-//! Selection: which backend does one attempt go to? A kind is drawn by its allocated share, then a backend of
-//! it; one that is full, unresponsive or not allowed is drawn again rather than overfilled, which would slow
-//! it for long.
+//! Selection of the backend for an attempt: weighted random by traffic share, first among kinds and then
+//! among the backends of the kind. If the drawn backend is full, unresponsive or
+//! ineligible, another one is drawn: a backend loaded past its limit stays slow for long.
 
 use super::classes::ClassTable;
 use super::concurrency_limit::ProxyLimit;
@@ -12,10 +12,10 @@
 use crate::random::{Random, Weighted};
 use crate::units::{BackendId, KindId};
 
-/// Draws by share before all backends are looked through: when so many are full, most are.
-const DRAWS: usize = 8;
+/// Unsuccessful draws after which all backends are searched: when so many draws fail, most backends are full.
+const MAX_DRAWS: usize = 8;
 
-/// What a selection goes by.
+/// The state that a selection depends on.
 pub(super) struct Selection<'a> {
     pub fleet: &'a Fleet,
     pub classes: &'a ClassTable,
@@ -26,56 +26,56 @@
 }
 
 impl Selection<'_> {
-    /// A backend for the next attempt of the request; `None` where none has capacity. A retry, which few
-    /// backends may be allowed to execute, chooses among those at once.
-    pub fn pick(&self, request: &Request, random: &mut Random) -> Option<BackendId> {
+    /// Selects a backend for the next attempt of the request; `None` if none has capacity. For a retry all
+    /// backends are searched at once, as few may be eligible.
+    pub fn select_backend(&self, request: &Request, random: &mut Random) -> Option<BackendId> {
         if !self.proxy_limit.allows(self.in_flight, is_low_priority(request.relative_value)) {
             return None;
         }
         if request.is_unsent() {
-            let kinds = self.kinds_by_share();
-            for _ in 0..DRAWS {
+            let kinds = self.weighted_kinds();
+            for _ in 0..MAX_DRAWS {
                 let kind = random.pick(&kinds)?;
                 let drawn = self.draw_from(kind, random);
-                if let Some(backend) = drawn.filter(|backend| self.can_take(*backend, request)) {
+                if let Some(backend) = drawn.filter(|backend| self.can_accept(*backend, request)) {
                     return Some(backend);
                 }
             }
         }
-        self.pick_among_all(request, random)
+        self.select_among_all(request, random)
     }
 
-    fn kinds_by_share(&self) -> Vec<Weighted<KindId>> {
-        let by_share =
+    fn weighted_kinds(&self) -> Vec<Weighted<KindId>> {
+        let weighted =
             |(id, kind): (&KindId, &TrackedKind)| Weighted { item: *id, weight: kind.picks.total() };
-        self.fleet.kinds.iter().map(by_share).collect()
+        self.fleet.kinds.iter().map(weighted).collect()
     }
 
-    /// A backend of the kind by traffic share; `None` where none can be used.
+    /// Draws a backend of the kind by traffic share; `None` if the kind has no usable backend.
     fn draw_from(&self, kind: KindId, random: &mut Random) -> Option<BackendId> {
         let point = random.unit();
         self.fleet.kinds.get(&kind)?.picks.pick(point)
     }
 
-    fn pick_among_all(&self, request: &Request, random: &mut Random) -> Option<BackendId> {
-        let candidates = self.fleet.backends.iter().filter(|(id, _)| self.can_take(**id, request));
-        let by_share: Vec<Weighted<BackendId>> =
+    fn select_among_all(&self, request: &Request, random: &mut Random) -> Option<BackendId> {
+        let candidates = self.fleet.backends.iter().filter(|(id, _)| self.can_accept(**id, request));
+        let weighted: Vec<Weighted<BackendId>> =
             candidates.map(|(id, backend)| Weighted { item: *id, weight: backend.traffic_share }).collect();
-        random.pick(&by_share)
+        random.pick(&weighted)
     }
 
-    /// Whether the backend may be sent the request and has capacity for it.
-    fn can_take(&self, id: BackendId, request: &Request) -> bool {
+    /// Whether the backend is eligible for the request and has capacity for it.
+    fn can_accept(&self, id: BackendId, request: &Request) -> bool {
         let Some(backend) = self.fleet.backends.get(&id) else { return false };
         if backend.readiness <= 0.0 || backend.health.is_unresponsive() {
             return false;
         }
         let limit = backend.concurrency.own(is_low_priority(request.relative_value));
-        f64::from(backend.in_flight()) < limit && self.is_allowed(backend, request)
+        f64::from(backend.in_flight()) < limit && self.is_eligible(backend, request)
     }
 
-    /// Whether the rules let the backend have the request: its state, duplicate effects, slow start.
-    fn is_allowed(&self, backend: &TrackedBackend, request: &Request) -> bool {
+    /// Whether the backend's state, the request's idempotency and slow start permit the attempt.
+    fn is_eligible(&self, backend: &TrackedBackend, request: &Request) -> bool {
         backend.is_listed_ready()
             && retry::may_execute_at(&backend.record, request)
             && self.slow_start.admits(backend, self.classes.relative_work(request.class))
