--- a/src/balancer/request_review.rs
+++ b/src/balancer/request_review.rs
@@ -34,8 +34,8 @@
     }
 
     /// Hedges a request whose backend is unresponsive or, where hedging is not allowed, cancels its attempt
-    /// so that a retry can follow. The age of an attempt alone leads to neither: hedging requests that merely
-    /// take much work would overload every backend.
+    /// so that a retry can follow. The age of an attempt alone leads to neither: hedging requests that are
+    /// merely expensive would overload every backend.
     fn replace_attempt(&mut self, now: Time, id: RequestId, attempt: AttemptNumber) {
         let Some(request) = self.requests.get(&id) else { return };
         if self.config.hedging_allowed {
--- a/tests/balancer/deadlines.rs
+++ b/tests/balancer/deadlines.rs
@@ -1,11 +1,11 @@
-//! Requests at the end of their time, and attempts that outlast their latency objective.
+//! Requests near their deadline, and attempts that exceed their latency objective.
 
 use crate::support::{backends, class, config_of, host, serve, Answer};
 use load_balancer::{Config, Idempotency, Outcome};
 
-/// Guards against requests that wait past their deadline where no backend is known.
+/// Guards against requests that wait past their deadline when no backend is known.
 #[test]
-fn an_empty_fleet_rejects_in_time() {
+fn requests_are_rejected_in_time_without_backends() {
     let mut host =
         host(config_of(vec![class(Idempotency::Idempotent), class(Idempotency::NonIdempotent)]), Vec::new());
     let ids = [host.arrive(0, 700_000), host.arrive(1, 700_000)];
@@ -13,9 +13,9 @@
     assert!(ids.iter().all(|id| host.answer(*id) == Some(Answer::Rejected)));
 }
 
-/// Guards against a timer that fires too late for the first request after a time without any.
+/// Guards against a timer that fires too late for the first request after an idle period.
 #[test]
-fn a_short_request_after_idleness_is_answered_in_time() {
+fn a_short_deadline_is_met_after_an_idle_period() {
     let mut host = host(Config::example(), Vec::new());
     host.advance(1_000_000);
     let id = host.arrive(0, 6_000);
@@ -23,7 +23,7 @@
     assert_eq!(host.answer(id), Some(Answer::Rejected));
 }
 
-/// Guards against stalled responses that fill the concurrency limit up to their deadline.
+/// Guards against stalled responses that use up the concurrency limit until their deadline.
 #[test]
 fn a_lost_attempt_at_a_responsive_backend_frees_its_capacity() {
     let mut host =
@@ -33,30 +33,34 @@
     serve(&mut host, 60, 0, |_| 10_000);
     for id in stuck {
         let request = &host.requests[&id];
-        assert_eq!(request.answer, Some(Answer::Failed), "a late answer earns nothing: given up at once");
+        assert_eq!(
+            request.answer,
+            Some(Answer::Failed),
+            "the request is not given up although a late response has no weight"
+        );
         assert_eq!(request.attempts[0].outcome, Some(Outcome::Cancelled));
     }
     let requests = host.burst(40, 0, 900_000);
     let dispatched = requests.iter().filter(|id| !host.dispatched_to(**id).is_empty()).count();
-    assert!(dispatched >= 8, "room for {dispatched} on two backends that hold nothing else");
+    assert!(dispatched >= 8, "only {dispatched} dispatched to two otherwise idle backends");
 }
 
 /// Guards against an attempt that is given up because its backend became slower.
 #[test]
-fn a_late_answer_of_a_slowed_backend_is_waited_for() {
+fn a_late_response_of_a_degraded_backend_is_awaited() {
     let mut host =
         host(Config { proxy_count: 1, ..config_of(vec![class(Idempotency::NonIdempotent)]) }, backends(2));
     serve(&mut host, 60, 0, |_| 60_000);
     let slow = host.arrive(0, 5_000_000);
     serve(&mut host, 10, 0, |_| 60_000);
-    assert_eq!(host.answer(slow), None, "ten times slower than usual");
+    assert_eq!(host.answer(slow), None, "the request ended while its backend is ten times slower than usual");
     host.end(slow, 0, Outcome::Success);
     assert_eq!(host.answer(slow), Some(Answer::Served));
 }
 
-/// Guards against a retry or an answer while a response is on its way to the client.
+/// Guards against a retry or a final response while a response is streamed to the client.
 #[test]
-fn a_streaming_answer_is_not_timed_out() {
+fn a_streaming_response_does_not_time_out() {
     let mut host = host(config_of(vec![class(Idempotency::Idempotent)]), backends(2));
     let id = host.arrive(0, 300_000);
     host.start_stream(id, 0);
--- a/tests/balancer/invariants.rs
+++ b/tests/balancer/invariants.rs
@@ -1,4 +1,4 @@
-//! The rules as invariants over generated sequences of events; `support::Host` checks each action.
+//! Invariants over generated sequences of events; `support::Host` checks every action.
 
 use crate::support::{backend, class, AttemptId, Host, TrackedRequest};
 use load_balancer::{
@@ -8,21 +8,22 @@
 use proptest::prelude::*;
 use proptest::test_runner::{RngAlgorithm, TestRng, TestRunner};
 
-/// One thing that happens to a host; `usize` picks one of the attempts or requests that it can happen to.
+/// One step of a generated sequence. A single index selects one of the attempts in flight or unanswered
+/// requests.
 #[derive(Clone, Debug)]
 enum Step {
-    /// Class, time left in µs, tenant.
+    /// Class, time left in µs, and tenant of a request.
     Arrive(usize, u64, Option<usize>),
     End(usize, Outcome),
     Stream(usize),
     Disconnect(usize),
-    /// µs.
+    /// Time to pass, in µs.
     Advance(u64),
-    /// Id, state, whether its process has just started.
+    /// Id and state of a backend, and whether its process has just started.
     Endpoint(u32, BackendState, bool),
-    /// The endpoints of a whole list, as bits.
+    /// The ids in a complete endpoint list, as bits.
     List(u32, EndpointListUpdate),
-    /// Request, attempt, timer.
+    /// Unknown request, attempt and timer.
     UnknownEvents(u64, u32, u64),
 }
 
@@ -64,7 +65,7 @@
     ]
 }
 
-/// A configuration whose options are the bits of a number.
+/// A configuration whose options are set by the bits of a number.
 fn config_with(bits: u32) -> Config {
     let window = Micros(300_000);
     let mut config = Config::example();
@@ -89,7 +90,7 @@
     config
 }
 
-/// Runs the steps and returns every action as text.
+/// Runs the steps and returns the debug text of the last actions after each step.
 fn run_steps(bits: u32, seed: u64, steps: &[Step]) -> Vec<String> {
     let mut host = Host::new(config_with(bits), seed);
     let mut trace = Vec::new();
@@ -139,11 +140,11 @@
     }
     host.advance(3_000_000);
     let is_answered = |request: &TrackedRequest| request.answer.is_some() || request.is_streaming;
-    assert!(host.requests.values().all(is_answered), "a request was left without an answer");
+    assert!(host.requests.values().all(is_answered), "a request has no final response");
     trace
 }
 
-/// Some item of the list, if it holds any.
+/// The item at index `n` modulo the length; `None` if the list is empty.
 fn nth<T: Copy>(list: &[T], n: usize) -> Option<T> {
     list.get(n % list.len().max(1)).copied()
 }
@@ -153,9 +154,9 @@
     TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]))
 }
 
-/// Guards against a sequence of events, of any kind, that makes the balancer break a rule.
+/// Guards against sequences of events that make the balancer violate an invariant.
 #[test]
-fn rules_hold_over_generated_events() {
+fn invariants_hold_over_generated_events() {
     let all = (0..32u32, any::<u64>(), proptest::collection::vec(step(), 1..250));
     let run = runner(300).run(&all, |(bits, seed, steps)| {
         run_steps(bits, seed, &steps);
@@ -164,9 +165,9 @@
     run.unwrap();
 }
 
-/// Guards against decisions that do not follow from seed and events alone.
+/// Guards against actions that depend on anything but the configuration, seed and events.
 #[test]
-fn the_same_events_give_the_same_actions() {
+fn the_same_events_yield_the_same_actions() {
     let all = (0..32u32, any::<u64>(), proptest::collection::vec(step(), 1..120));
     let run = runner(40).run(&all, |(bits, seed, steps)| {
         prop_assert_eq!(run_steps(bits, seed, &steps), run_steps(bits, seed, &steps));
--- a/tests/balancer/main.rs
+++ b/tests/balancer/main.rs
@@ -1,5 +1,4 @@
-//! The balancer without clock or socket, through the public interface of the library: one small test for each
-//! behaviour and each failure found.
+//! Tests of the balancer through the public interface of the library, without a real clock or sockets.
 
 mod admission;
 mod concurrency_limit;
--- a/tests/balancer/priority.rs
+++ b/tests/balancer/priority.rs
@@ -1,9 +1,9 @@
-//! Which of the queued requests is served first: client retries, quotas and weights.
+//! Priorities of queued requests: client retries, tenant quotas and class weights.
 
 use crate::support::{backends, class, config_of, host, Answer};
 use load_balancer::{Class, Config, Idempotency, Outcome, RequestId, Tenant, TenantId};
 
-/// Guards against client retries that are served before first requests and make everyone late.
+/// Guards against client retries that are served before original requests and make both late.
 #[test]
 fn a_client_retry_waits_behind_original_requests() {
     let mut host = host(Config { proxy_count: 1, ..Config::example() }, backends(1));
@@ -20,25 +20,26 @@
     assert!(dispatched_at(first).is_some());
     assert!(
         dispatched_at(retry).is_none_or(|at| at >= dispatched_at(first).unwrap()),
-        "the retry went first"
+        "the client retry was dispatched first"
     );
 }
 
-/// Guards against one tenant over its quota that fills the concurrency limit for all others.
+/// Guards against a tenant over its quota that uses up the concurrency limit.
 #[test]
-fn traffic_past_a_quota_leaves_capacity_for_the_others() {
+fn traffic_over_quota_leaves_capacity_for_other_tenants() {
     let tenants = vec![Tenant { quota_per_second: 1.0 }, Tenant { quota_per_second: 1_000.0 }];
     let mut host = host(Config { proxy_count: 1, tenants, ..Config::example() }, backends(2));
-    let flood: Vec<RequestId> = (0..30).map(|_| host.arrive_for(0, 900_000, Some(TenantId(0)))).collect();
-    let dispatched = flood.iter().filter(|id| !host.dispatched_to(**id).is_empty()).count();
+    let over_quota: Vec<RequestId> =
+        (0..30).map(|_| host.arrive_for(0, 900_000, Some(TenantId(0)))).collect();
+    let dispatched = over_quota.iter().filter(|id| !host.dispatched_to(**id).is_empty()).count();
     let other = host.arrive_for(0, 900_000, Some(TenantId(1)));
-    assert!(dispatched <= 6, "{dispatched} of the flood were dispatched");
-    assert_eq!(host.dispatched_to(other).len(), 1, "the other tenant waits behind the flood");
+    assert!(dispatched <= 6, "{dispatched} of 30 requests over quota were dispatched");
+    assert_eq!(host.dispatched_to(other).len(), 1, "a tenant within its quota waits behind one over quota");
 }
 
-/// Guards against overload in which the requests of the least weight are served.
+/// Guards against overload in which requests of low weight are served before those of high weight.
 #[test]
-fn in_overload_the_highest_priority_is_served() {
+fn requests_of_higher_weight_are_served_first_in_overload() {
     let heavy = Class { priority_weight: 8.0, ..class(Idempotency::Idempotent) };
     let mut host = host(
         Config { proxy_count: 1, ..config_of(vec![class(Idempotency::Idempotent), heavy]) },
@@ -54,5 +55,5 @@
         requests.filter(|id| host.answer(*id) == Some(Answer::Served)).count()
     };
     let (light, heavy) = (served(0), served(1));
-    assert!(heavy > light, "{heavy} of the greater and {light} of the lesser weight were served");
+    assert!(heavy > light, "{heavy} requests of weight 8 and {light} of weight 1 were served");
 }
--- a/tests/balancer/retry.rs
+++ b/tests/balancer/retry.rs
@@ -1,32 +1,28 @@
-//! Retries and hedged requests: which are sent, where, and until when.
+//! Retries and hedged requests: when they are sent, and to which backends.
 
 use crate::support::{backend, backends, class, config_of, host, serve, Answer, Host};
 use load_balancer::{Action, Config, Idempotency, IdempotencyScope, Micros, Outcome, RequestId};
 
-/// Guards against requests lost on an unresponsive backend, and hedged requests for merely slow ones.
+/// Guards against requests stuck at an unresponsive backend, and hedging of requests that are merely slow.
 #[test]
-fn an_unresponsive_backend_gets_nothing_new_and_its_requests_are_hedged() {
+fn an_unresponsive_backend_is_avoided_and_its_requests_are_hedged() {
     let mut host = host(config_of(vec![class(Idempotency::Idempotent)]), backends(6));
     serve(&mut host, 100, 0, |_| 10_000);
     let id = host.arrive(0, 900_000);
     let unresponsive = host.dispatched_to(id)[0];
     host.advance(50_000);
-    assert_eq!(
-        host.dispatched_to(id).len(),
-        1,
-        "a hedged request for merely much work: such hedging overloads every backend"
-    );
+    assert_eq!(host.dispatched_to(id).len(), 1, "a request is hedged merely because it takes long");
     host.advance(50_000);
     let chosen = serve(&mut host, 30, 0, |_| 5_000);
     assert!(!chosen.contains(&unresponsive));
     host.advance(10_000);
-    assert_eq!(host.dispatched_to(id).len(), 2, "no hedged request was sent");
+    assert_eq!(host.dispatched_to(id).len(), 2, "the request at the unresponsive backend is not hedged");
     assert_ne!(host.dispatched_to(id)[1], unresponsive);
 }
 
-/// Guards against two attempts at once where hedging is not allowed.
+/// Guards against two concurrent attempts where hedging is not allowed.
 #[test]
-fn where_hedging_is_not_allowed_the_lost_attempt_is_cancelled_first() {
+fn without_hedging_an_unresponsive_attempt_is_cancelled_before_the_retry() {
     let config = Config { hedging_allowed: false, ..config_of(vec![class(Idempotency::Idempotent)]) };
     let mut host = host(config, backends(6));
     serve(&mut host, 100, 0, |_| 10_000);
@@ -37,9 +33,9 @@
     assert_eq!(host.dispatched_to(id).len(), 2);
 }
 
-/// Guards against a retry of what may have been executed, and a failure of what was not.
+/// Guards against a duplicate execution, and a missing retry of a request that was not executed.
 #[test]
-fn a_non_idempotent_request_that_may_have_been_executed_is_failed_and_one_that_was_not_is_retried() {
+fn a_non_idempotent_request_is_retried_only_if_never_executed() {
     let mut host = host(config_of(vec![class(Idempotency::NonIdempotent)]), backends(6));
     serve(&mut host, 60, 0, |_| 10_000);
     let id = host.arrive(0, 900_000);
@@ -50,9 +46,9 @@
     assert_eq!(host.dispatched_to(id).len(), 2);
 }
 
-/// Guards against a keyed retry that other backends than the first would execute again.
+/// Guards against a keyed retry at a backend, or at a time, that would execute the request again.
 #[test]
-fn a_retry_with_a_key_stays_in_its_zone_and_window() {
+fn a_keyed_retry_stays_in_its_zone_and_window() {
     let keyed = class(Idempotency::Keyed { scope: IdempotencyScope::Zone, window: Micros(200_000) });
     let mut host = host(config_of(vec![keyed]), (0..6).map(|id| backend(id, id % 2, 0)).collect());
     serve(&mut host, 60, 0, |_| 10_000);
@@ -66,19 +62,19 @@
     for number in 0..sent {
         host.end(id, number, Outcome::ErrorResponse);
     }
-    assert_eq!(host.dispatched_to(id).len(), sent, "retried after its window");
+    assert_eq!(host.dispatched_to(id).len(), sent, "retried after the idempotency window");
     assert_eq!(host.answer(id), Some(Answer::Failed));
 }
 
-/// Guards against an attempt that a stalled host writes after the idempotency window of the first.
+/// Guards against an attempt that a stalled host writes after the end of the idempotency window.
 #[test]
-fn every_attempt_of_a_keyed_request_ends_with_the_window_of_the_first() {
+fn every_keyed_attempt_must_be_written_within_the_first_attempts_window() {
     let write_by = |host: &Host| {
         let write_by = |action: &Action| match action {
             Action::Dispatch { write_by, .. } => Some(*write_by),
             _ => None,
         };
-        host.last_actions.iter().find_map(write_by).expect("an attempt")
+        host.last_actions.iter().find_map(write_by).expect("an attempt was dispatched")
     };
     let keyed =
         |window_us| class(Idempotency::Keyed { scope: IdempotencyScope::All, window: Micros(window_us) });
@@ -88,21 +84,21 @@
     let id = host.arrive(0, 900_000);
     let end = host.now + Micros(400_000 - 150_000);
     let tick = host.config.tick;
-    assert!(write_by(&host).is_some_and(|by| by <= end && by + tick >= end), "the first");
+    assert!(write_by(&host).is_some_and(|by| by <= end && by + tick >= end), "write_by of the first attempt");
     host.advance(50_000);
     host.end(id, 0, Outcome::ErrorResponse);
-    assert!(write_by(&host).is_some_and(|by| by <= end && by + tick >= end), "the next");
+    assert!(write_by(&host).is_some_and(|by| by <= end && by + tick >= end), "write_by of the retry");
     for class in [1, 2, 3] {
         let id = host.arrive(class, 900_000);
         assert_eq!(write_by(&host), None);
         host.end(id, 0, Outcome::ErrorResponse);
-        assert_eq!(host.dispatched_to(id).len() > 1, class == 2, "a retry of class {class}");
+        assert_eq!(host.dispatched_to(id).len() > 1, class == 2, "retry of class {class}");
     }
 }
 
-/// Guards against hedged requests for all that an ejected backend may well answer.
+/// Guards against hedging of requests that an ejected backend may still serve.
 #[test]
-fn what_an_ejected_backend_still_works_on_is_not_hedged() {
+fn requests_in_flight_at_an_ejected_backend_are_not_hedged() {
     let mut host =
         host(Config { proxy_count: 1, ..config_of(vec![class(Idempotency::Idempotent)]) }, backends(2));
     serve(&mut host, 60, 0, |_| 10_000);
@@ -111,16 +107,20 @@
         requests.iter().copied().filter(|id| host.dispatched_to(*id) == [backend]).collect()
     };
     let in_flight = in_flight_at(&host, 0);
-    assert!(in_flight.len() >= 3, "{} of eight on one of two backends", in_flight.len());
+    assert!(in_flight.len() >= 3, "{} of eight attempts at one of two backends", in_flight.len());
     host.advance(5_000);
     for id in &in_flight[..2] {
         host.end(*id, 0, Outcome::ConnectionReset);
     }
-    assert!(host.has_ejected_any(), "two broken connections close together");
-    // Room for hedged requests.
+    assert!(host.has_ejected_any(), "two connection resets in a row do not eject the backend");
+    // Frees capacity for hedged requests.
     for id in in_flight_at(&host, 1) {
         host.end(id, 0, Outcome::Success);
     }
     host.advance(20_000);
-    assert_eq!(host.dispatched_to(in_flight[2]), [0], "a hedged request for what may well be answered");
+    assert_eq!(
+        host.dispatched_to(in_flight[2]),
+        [0],
+        "a request that the ejected backend may still serve is hedged"
+    );
 }
--- a/tests/balancer/support/builders.rs
+++ b/tests/balancer/support/builders.rs
@@ -1,4 +1,4 @@
-//! Backends, classes, configurations and hosts of the usual sort.
+//! Builders of backends, classes, configurations and hosts.
 
 use super::Host;
 use load_balancer::{
@@ -6,7 +6,7 @@
     ZoneId,
 };
 
-/// The seed of the balancer in a host of [`host`].
+/// Seed of the balancers built by [`host`].
 const SEED: u64 = 11;
 
 /// A ready backend that started long ago; backends with an even and an odd id are in different cells.
@@ -38,12 +38,12 @@
     }
 }
 
-/// The example's configuration with these classes.
+/// The example configuration with these classes.
 pub fn config_of(classes: Vec<Class>) -> Config {
     Config { classes, ..Config::example() }
 }
 
-/// A host whose balancer holds this endpoint list.
+/// A host whose balancer has received this endpoint list.
 pub fn host(config: Config, backends: Vec<Backend>) -> Host {
     let mut host = Host::new(config, SEED);
     host.update_endpoints(EndpointListUpdate::Snapshot, backends);
--- a/tests/balancer/support/host.rs
+++ b/tests/balancer/support/host.rs
@@ -1,4 +1,4 @@
-//! A host for one balancer that carries out its actions and checks every rule as it goes.
+//! A host for one balancer that executes its actions and checks every invariant.
 
 use super::rules::{check_cancellation, check_deadlines, check_dispatch, check_rejection};
 use super::tracked_request::{Answer, Attempt, AttemptId, TrackedRequest};
@@ -15,7 +15,7 @@
     pub token: TimerToken,
 }
 
-/// A balancer, the requests and backends around it, and a clock that a test moves.
+/// A balancer with its requests and backends, and a clock that the test advances.
 pub struct Host {
     pub config: Config,
     pub balancer: Balancer,
@@ -23,23 +23,23 @@
     pub backends: BTreeMap<BackendId, Backend>,
     pub requests: BTreeMap<RequestId, TrackedRequest>,
     pub timers: Vec<PendingTimer>,
-    /// How often the balancer has resubscribed.
+    /// Number of [`Action::Resubscribe`] so far.
     pub resubscriptions: u32,
-    /// Attempts that were cancelled and have not ended yet.
+    /// Cancelled attempts that have not ended yet.
     pub cancelled: Vec<AttemptId>,
     pub logs: Vec<LogEvent>,
     /// The actions of the last event.
     pub last_actions: Vec<Action>,
-    /// Of the requests that arrive from now on.
+    /// Passed with every request that arrives from now on.
     pub is_client_retry: bool,
-    /// Of the requests that arrive from now on.
+    /// Passed with every request that arrives from now on.
     pub expected_work: Option<Micros>,
     last_request_id: u64,
 }
 
 impl Host {
     pub fn new(config: Config, seed: u64) -> Host {
-        let balancer = Balancer::new(config.clone(), seed).expect("sound");
+        let balancer = Balancer::new(config.clone(), seed).expect("a valid configuration");
         Host {
             config,
             balancer,
@@ -57,27 +57,27 @@
         }
     }
 
-    /// Gives an event to the balancer and carries out its actions.
+    /// Passes an event to the balancer and executes the resulting actions.
     pub fn handle(&mut self, event: Event) {
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
         self.last_actions = actions.clone();
         for action in actions {
-            self.carry_out(action);
+            self.execute(action);
         }
     }
 
-    fn carry_out(&mut self, action: Action) {
+    fn execute(&mut self, action: Action) {
         match action {
             Action::Dispatch { request, backend, .. } => self.dispatch(request, backend),
             Action::Reject { request } => {
                 let request = self.requests.get_mut(&request).expect("a known request");
                 check_rejection(request);
-                assert!(request.answer.replace(Answer::Rejected).is_none(), "answered twice");
+                assert!(request.answer.replace(Answer::Rejected).is_none(), "a second final response");
             }
             Action::Fail { request } => {
                 let request = self.requests.get_mut(&request).expect("a known request");
-                assert!(request.answer.replace(Answer::Failed).is_none(), "answered twice");
+                assert!(request.answer.replace(Answer::Failed).is_none(), "a second final response");
             }
             Action::CancelAttempt { request, attempt } => {
                 let number = attempt.0 as usize;
@@ -96,14 +96,14 @@
     }
 
     fn dispatch(&mut self, request: RequestId, backend: BackendId) {
-        let request = self.requests.get_mut(&request).expect("dispatch of a known request");
+        let request = self.requests.get_mut(&request).expect("a known request");
         let listed = self.backends.get(&backend).expect("a listed backend");
         check_dispatch(&self.config, request, listed, self.now);
         let (zone, cell, at) = (listed.zone, listed.cell, self.now);
         request.attempts.push(Attempt { backend, zone, cell, at, outcome: None });
     }
 
-    /// Gives an endpoint list or its changes to the balancer.
+    /// Passes an endpoint list update to the balancer.
     pub fn update_endpoints(&mut self, update: EndpointListUpdate, backends: Vec<Backend>) {
         if matches!(update, EndpointListUpdate::Snapshot | EndpointListUpdate::Cached) {
             for backend in self.backends.values_mut() {
@@ -116,7 +116,7 @@
         self.handle(Event::EndpointListChanged { update, backends });
     }
 
-    /// Replaces the configuration by one in which these classes and tenants were there before.
+    /// Replaces the configuration; `previous_classes` and `previous_tenants` as in [`ConfigUpdate`].
     pub fn reconfigure_from(
         &mut self, config: Config, previous_classes: Vec<Option<ClassId>>,
         previous_tenants: Vec<Option<TenantId>>,
@@ -129,19 +129,19 @@
         })));
     }
 
-    /// Replaces the configuration by one in which every class and tenant is where it was.
+    /// Replaces the configuration by one in which classes and tenants keep their numbers.
     pub fn reconfigure(&mut self, config: Config) {
         let classes = (0..config.classes.len()).map(|class| Some(ClassId(class))).collect();
         let tenants = (0..config.tenants.len()).map(|tenant| Some(TenantId(tenant))).collect();
         self.reconfigure_from(config, classes, tenants);
     }
 
-    /// A request of no tenant arrives.
+    /// Lets a request without a tenant arrive.
     pub fn arrive(&mut self, class: usize, time_left_us: u64) -> RequestId {
         self.arrive_for(class, time_left_us, None)
     }
 
-    /// A request arrives.
+    /// Lets a request arrive.
     pub fn arrive_for(&mut self, class: usize, time_left_us: u64, tenant: Option<TenantId>) -> RequestId {
         self.last_request_id += 1;
         let id = RequestId(self.last_request_id);
@@ -166,18 +166,18 @@
         id
     }
 
-    /// So many requests arrive at once.
+    /// Lets `count` requests arrive at once.
     pub fn burst(&mut self, count: usize, class: usize, time_left_us: u64) -> Vec<RequestId> {
         (0..count).map(|_| self.arrive(class, time_left_us)).collect()
     }
 
-    /// The client of a request disconnects.
+    /// Disconnects the client of a request.
     pub fn disconnect(&mut self, id: RequestId) {
         self.requests.get_mut(&id).expect("a known request").answer = Some(Answer::ClientDisconnected);
         self.handle(Event::ClientDisconnected { request: id });
     }
 
-    /// Gives one event of each sort to the balancer about things that it does not know.
+    /// Passes one event of each type with unknown ids to the balancer.
     pub fn handle_unknown(&mut self, request: RequestId, attempt: AttemptNumber, token: TimerToken) {
         let (outcome, latency) = (Outcome::ErrorResponse, Micros(5));
         self.handle(Event::TimerFired { token });
@@ -192,7 +192,7 @@
         }));
     }
 
-    /// Ends an attempt that is in flight.
+    /// Ends an attempt; does nothing if it is not in flight.
     pub fn end(&mut self, id: RequestId, number: usize, outcome: Outcome) {
         let now = self.now;
         let Some(request) = self.requests.get_mut(&id) else { return };
@@ -208,17 +208,18 @@
         self.handle(Event::AttemptEnded(AttemptResult { request: id, attempt, outcome, latency, answered }));
     }
 
-    /// The response to an attempt that is in flight begins to come, and goes on to the client.
+    /// Starts to stream the response to an attempt; does nothing if the attempt is not in flight or the
+    /// request is not pending.
     pub fn start_stream(&mut self, id: RequestId, number: usize) {
-        let is_waiting = |request: &&mut TrackedRequest| request.answer.is_none() && !request.is_streaming;
-        let Some(request) = self.requests.get_mut(&id).filter(is_waiting) else { return };
+        let is_pending = |request: &&mut TrackedRequest| request.answer.is_none() && !request.is_streaming;
+        let Some(request) = self.requests.get_mut(&id).filter(is_pending) else { return };
         if request.attempts.get(number).is_some_and(|attempt| attempt.outcome.is_none()) {
             request.is_streaming = true;
             self.handle(Event::ResponseStarted { request: id, attempt: AttemptNumber(number as u32) });
         }
     }
 
-    /// Lets time pass; timers and time-outs fire when due, and every deadline is checked.
+    /// Advances the clock in ticks, fires timers and timeouts that are due, and checks every deadline.
     pub fn advance(&mut self, duration_us: u64) {
         let end = self.now + Micros(duration_us);
         while self.now < end {
@@ -250,35 +251,35 @@
         }
     }
 
-    /// Whether an ejection of that backend was logged.
+    /// Whether an ejection of the backend was logged.
     pub fn has_ejected(&self, id: BackendId) -> bool {
         let is_of =
             |event: &LogEvent| matches!(event, LogEvent::BackendEjected { backend, .. } if *backend == id);
         self.logs.iter().any(is_of)
     }
 
-    /// Whether an ejection was logged.
+    /// Whether an ejection of any backend was logged.
     pub fn has_ejected_any(&self) -> bool {
         self.logs.iter().any(|event| matches!(event, LogEvent::BackendEjected { .. }))
     }
 
-    /// The backends of a request's attempts.
+    /// The backends of a request's attempts, in order of dispatch.
     pub fn dispatched_to(&self, id: RequestId) -> Vec<u32> {
         self.requests[&id].attempts.iter().map(|attempt| attempt.backend.0 as u32).collect()
     }
 
-    /// The answer of a request, if it has one.
+    /// How a request ended; `None` while it is pending.
     pub fn answer(&self, id: RequestId) -> Option<Answer> {
         self.requests[&id].answer
     }
 
-    /// Serves everything that is in flight after this time.
+    /// Advances the clock, then ends every attempt in flight with success.
     pub fn serve_all(&mut self, duration_us: u64) {
         self.advance(duration_us);
         self.end_all(|_| Outcome::Success);
     }
 
-    /// Ends everything that is in flight, each attempt as its backend would.
+    /// Ends every attempt in flight with the outcome for its backend.
     pub fn end_all(&mut self, mut outcome_of: impl FnMut(u32) -> Outcome) {
         for AttemptId { request, number } in self.in_flight() {
             let backend = self.dispatched_to(request)[number];
@@ -286,7 +287,6 @@
         }
     }
 
-    /// The attempts that are in flight.
     pub fn in_flight(&self) -> Vec<AttemptId> {
         let of_request = |(id, request): (&RequestId, &TrackedRequest)| {
             let attempts = request.attempts.iter().enumerate();
@@ -297,7 +297,7 @@
     }
 }
 
-/// Serves requests one by one, each after a time that may depend on its backend; returns their backends.
+/// Serves requests one by one, each with the latency of its backend; returns the backends in order.
 pub fn serve(host: &mut Host, count: usize, class: usize, duration_us: impl Fn(u32) -> u64) -> Vec<u32> {
     let mut chosen = Vec::new();
     for _ in 0..count {
--- a/tests/balancer/support/mod.rs
+++ b/tests/balancer/support/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests share: a host for one balancer with the rules that it checks, and builders.
+//! Shared test support: a host that checks the actions of one balancer, and builders.
 
 mod builders;
 mod host;
--- a/tests/balancer/support/tracked_request.rs
+++ b/tests/balancer/support/tracked_request.rs
@@ -1,4 +1,4 @@
-//! What a host knows of a request and its attempts.
+//! The host's record of a request and its attempts.
 
 use load_balancer::{BackendId, CellId, Class, Outcome, RequestId, Time, ZoneId};
 
@@ -8,11 +8,10 @@
     Served,
     Rejected,
     Failed,
-    /// Nobody waits for an answer any more.
     ClientDisconnected,
 }
 
-/// An attempt that was dispatched.
+/// A dispatched attempt.
 #[derive(Clone)]
 pub struct Attempt {
     pub backend: BackendId,
@@ -24,13 +23,13 @@
 }
 
 impl Attempt {
-    /// No outcome proves yet that it was not executed.
-    pub fn may_have_run(&self) -> bool {
+    /// Whether no outcome proves that the backend did not execute the attempt.
+    pub fn may_have_executed(&self) -> bool {
         self.outcome.is_none_or(|outcome| !outcome.never_executed())
     }
 }
 
-/// Names an attempt.
+/// Identifies an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AttemptId {
     pub request: RequestId,
@@ -41,9 +40,9 @@
 /// A request that arrived.
 pub struct TrackedRequest {
     pub class: usize,
-    /// The class as it was when the request arrived: the rules go by that.
+    /// Configuration of the class at arrival, to which the invariants apply.
     pub class_on_arrival: Class,
-    /// The attempts that were allowed when the request arrived.
+    /// Limit on attempts, as configured at arrival.
     pub max_attempts: u32,
     pub deadline: Time,
     pub attempts: Vec<Attempt>,
--- a/tests/balancer/unknown_events.rs
+++ b/tests/balancer/unknown_events.rs
@@ -1,11 +1,11 @@
-//! Events about requests, attempts and timers that the balancer does not know.
+//! Events that refer to unknown requests, attempts and timers.
 
 use crate::support::{backends, class, config_of, host, serve};
 use load_balancer::{AttemptNumber, Idempotency, RequestId, TimerToken};
 
-/// Guards against an event about an unknown request, attempt or timer that changes later decisions.
+/// Guards against an event with an unknown request, attempt or timer that changes later decisions.
 #[test]
-fn events_of_unknown_things_change_nothing() {
+fn events_with_unknown_ids_change_nothing() {
     let run = |with_unknown_events: bool| {
         let mut host = host(config_of(vec![class(Idempotency::Idempotent)]), backends(3));
         if with_unknown_events {
