--- a/src/balancer/admission.rs
+++ b/src/balancer/admission.rs
@@ -103,7 +103,7 @@
     }
 }
 
-/// A group of requests of one priority within the load, as fractions of the whole load.
+/// Requests of one priority. Loads are fractions of the whole load.
 struct PriorityBand {
     /// Load of higher priority.
     higher_load: f64,
--- a/src/balancer/classes.rs
+++ b/src/balancer/classes.rs
@@ -110,8 +110,8 @@
         self.expected_work.add(work.secs(), MEAN_WINDOW);
     }
 
-    /// Mean work that clients expect a request to take, in seconds on a standard core; `None` if no client
-    /// has said.
+    /// Mean work that clients expect a request to take, in seconds on a standard core; `None` before
+    /// the first sample.
     pub fn expected_work_secs(&self) -> Option<f64> {
         self.expected_work.get()
     }
--- a/src/balancer/concurrency_limit.rs
+++ b/src/balancer/concurrency_limit.rs
@@ -57,7 +57,7 @@
     }
 
     /// Attempts that this proxy may have in flight at the backend.
-    pub fn own(&self, is_low_priority: bool) -> f64 {
+    pub fn own_limit(&self, is_low_priority: bool) -> f64 {
         if is_low_priority {
             (self.own_limit * LOW_PRIORITY_CAPACITY_FRACTION).ceil()
         } else {
--- a/src/balancer/request_completion.rs
+++ b/src/balancer/request_completion.rs
@@ -17,8 +17,8 @@
         self.close(id, Some(false));
     }
 
-    /// Removes a request and cancels its attempts in flight. `on_time` tells whether it was served within its
-    /// latency objective; `None` if the client disconnected before the final response.
+    /// Removes a request and, where allowed, cancels its attempts in flight. `on_time` tells whether it was
+    /// served within its latency objective; `None` if the client disconnected before the final response.
     pub(super) fn close(&mut self, id: RequestId, on_time: Option<bool>) {
         let Some(request) = self.requests.remove(&id) else { return };
         self.queue.remove(id);
--- a/src/balancer/selection.rs
+++ b/src/balancer/selection.rs
@@ -1,6 +1,6 @@
 //! Selection of the backend for an attempt: weighted random by traffic share, first among kinds and then
-//! among the backends of the kind. If the drawn backend is full, unresponsive or
-//! ineligible, another one is drawn: a backend loaded past its limit stays slow for long.
+//! among the backends of the kind. If the drawn backend is full, unresponsive or ineligible,
+//! another one is drawn: a backend loaded past its limit stays slow for long.
 
 use super::classes::ClassTable;
 use super::concurrency_limit::ProxyLimit;
@@ -70,7 +70,7 @@
         if backend.readiness <= 0.0 || backend.health.is_unresponsive() {
             return false;
         }
-        let limit = backend.concurrency.own(is_low_priority(request.relative_value));
+        let limit = backend.concurrency.own_limit(is_low_priority(request.relative_value));
         f64::from(backend.in_flight()) < limit && self.is_eligible(backend, request)
     }
 
