--- a/tests/balancer/support/rules.rs
+++ b/tests/balancer/support/rules.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 
 /// Time after its deadline within which a request must have its final response.
-const ANSWER_SLACK: Micros = Micros(16_000);
+const RESPONSE_SLACK: Micros = Micros(16_000);
 
 /// Panics unless an attempt of the request may be dispatched to this backend now.
 pub fn check_dispatch(config: &Config, request: &TrackedRequest, backend: &Backend, now: Time) {
@@ -64,6 +64,9 @@
 pub fn check_deadlines(requests: &BTreeMap<RequestId, TrackedRequest>, now: Time) {
     for (id, request) in requests {
         let is_pending = request.answer.is_none() && !request.is_streaming;
-        assert!(!is_pending || now < request.deadline + ANSWER_SLACK, "{id:?} has no final response in time");
+        assert!(
+            !is_pending || now < request.deadline + RESPONSE_SLACK,
+            "{id:?} has no final response in time"
+        );
     }
 }
