--- a/src/bin/load-balancer-proxy/clock.rs
+++ b/src/bin/load-balancer-proxy/clock.rs
@@ -1,15 +1,17 @@
-//! The clock of the process, in Unix microseconds of its start: it may be off by any amount, so that times of
-//! other machines are never compared with it.
+//! The clock of the process, in microseconds since the Unix epoch.
+//!
+//! Its offset is fixed when the process starts and may be arbitrarily wrong, so timestamps of other machines
+//! are never compared with it.
 
 use load_balancer::{Micros, Time};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
-/// The farthest that [`Clock::instant`] looks ahead.
+/// How far in the future an instant returned by [`Clock::instant`] may be at most.
 const MAX_AHEAD: Micros = Micros(3_600_000_000);
 
-/// Reads the system's clock once and goes on with the monotonic one: a correction of the former moves no
-/// deadline.
+/// Reads the wall clock once and advances with the monotonic clock, so that a step of the wall clock does not
+/// move any deadline.
 #[derive(Clone, Copy)]
 pub struct Clock {
     started_at: Instant,
@@ -17,30 +19,31 @@
 }
 
 impl Clock {
-    /// A clock that reads the system's time now.
+    /// Creates a clock that starts at the current wall-clock time.
     pub fn new() -> Clock {
         let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Clock { started_at: Instant::now(), unix_start: Time(micros(since_epoch).0) }
     }
 
-    /// The time.
+    /// Returns the current time.
     pub fn now(&self) -> Time {
         self.unix_start + micros(self.started_at.elapsed())
     }
 
-    /// The instant of a time for the runtime's timers; of one more than an hour ahead, an hour from now.
+    /// Converts a time to an instant for the runtime's timers; times more than an hour ahead are capped to an
+    /// hour from now.
     pub fn instant(&self, time: Time) -> Instant {
         let since_start = time.min(self.now() + MAX_AHEAD) - self.unix_start;
         self.started_at + duration(since_start)
     }
 }
 
-/// A span for the balancer.
-pub fn micros(span: Duration) -> Micros {
-    Micros(span.as_micros() as u64)
+/// Converts a [`Duration`] to the balancer's unit.
+pub fn micros(duration: Duration) -> Micros {
+    Micros(duration.as_micros() as u64)
 }
 
-/// A span for the runtime's timers.
-pub fn duration(span: Micros) -> Duration {
-    Duration::from_micros(span.0)
+/// Converts a time span of the balancer to a [`Duration`].
+pub fn duration(micros: Micros) -> Duration {
+    Duration::from_micros(micros.0)
 }
--- a/src/bin/load-balancer-proxy/config.rs
+++ b/src/bin/load-balancer-proxy/config.rs
@@ -1,5 +1,5 @@
-//! The configuration of the proxy (not of the balancer, which is a part of its settings), from the file that
-//! `$BALANCER_CONFIG` names.
+//! The configuration of the proxy, read from the file named by `$BALANCER_CONFIG`. It contains the balancer's
+//! configuration as a part of its settings.
 
 use load_balancer::net::resource_exhaustion;
 use load_balancer::wire::endpoint_list::EndpointList;
@@ -14,67 +14,71 @@
 
 const PATH_VARIABLE: &str = "BALANCER_CONFIG";
 
-/// The least time for ceasing to send that the watch goes by: its agent needs some of it to answer.
-const MIN_STOP_SENDING: Micros = Micros(200_000);
-/// The greatest: what a silent agent has to report counts as notified after 6 s in any case.
-const MAX_STOP_SENDING: Micros = Micros(4_000_000);
+/// Lower bound of [`Settings::drain_notice_limit`]: the discovery agent needs part of that time to answer a
+/// call.
+const MIN_DRAIN_NOTICE_LIMIT: Micros = Micros(200_000);
+/// Upper bound of [`Settings::drain_notice_limit`]: the proxy counts as notified of a change after 6 s, even
+/// if the discovery agent does not respond.
+const MAX_DRAIN_NOTICE_LIMIT: Micros = Micros(4_000_000);
 
-/// Why there is no configuration.
+/// Why the configuration could not be loaded.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigFileError {
-    /// The environment names no file.
+    /// The environment variable is not set.
     #[error("{PATH_VARIABLE}: missing, expected a file name")]
     PathMissing,
     /// The file cannot be read.
     #[error("{PATH_VARIABLE}: expected a readable file, got {path}: {source}")]
     Unreadable { path: PathBuf, source: io::Error },
-    /// The file is no JSON document.
+    /// The file is not valid JSON.
     #[error("{PATH_VARIABLE}: expected JSON in {path}: {source}")]
     NotJson { path: PathBuf, source: serde_json::Error },
-    /// A key is at fault.
+    /// A key is missing or has an invalid value.
     #[error(transparent)]
     Document(#[from] WireError),
 }
 
-/// Everything that the deployment tells a proxy.
+/// The configuration of a proxy.
 pub struct ProxyConfig {
-    /// Where clients connect.
+    /// Address on which clients connect.
     pub listen: SocketAddr,
-    /// Where discovery is; it may move while the proxy runs.
+    /// Address of the discovery service; a reload may change it.
     pub discovery: SocketAddr,
-    /// The seed of the balancer's random draws.
+    /// Seed of the balancer's random number generator.
     pub seed: u64,
-    /// File descriptors that the process may hold.
+    /// Number of file descriptors that the process may have open.
     pub max_file_descriptors: usize,
-    /// The endpoint list as this proxy last had it.
+    /// The last endpoint list that this proxy had before the start, if any.
     pub cached_list: Option<EndpointList>,
-    /// What may change while the proxy runs.
+    /// The settings that a reload may change.
     pub settings: Arc<Settings>,
 }
 
-/// What may change while the proxy runs; it is replaced as a whole.
+/// The settings that a reload may change; they are replaced as a whole.
 #[derive(PartialEq)]
 pub struct Settings {
-    /// Counts those in force since the start, from 1.
+    /// Incremented by each reload that changes the settings; 1 at the start.
     pub version: u64,
     /// The configuration of the balancer.
     pub balancer: load_balancer::Config,
-    /// The names of its classes and tenants.
+    /// The names of the balancer's classes and tenants.
     pub names: Names,
-    /// Requests that may be open at once; more are rejected before the balancer hears of them.
+    /// Number of requests that may be open at once; further ones are rejected without consulting the
+    /// balancer.
     pub max_open_requests: usize,
-    /// A backend closes a connection that has been idle for this long, at the latest.
+    /// Backends close connections that have been idle for this long, or earlier.
     pub idle_timeout: Micros,
-    /// A connection that is not up after this time counts as failed.
+    /// A connection to a backend that is not established after this time counts as failed.
     pub connect_timeout: Micros,
-    /// Requests to a draining backend must cease this soon after it was listed so. They cease at once; the
-    /// limit only bounds how long a lost call to discovery may go unnoticed.
+    /// No request may be sent to a backend later than this after discovery listed it as draining. The proxy
+    /// stops as soon as it learns of the drain, so the limit only bounds how long a lost call to discovery
+    /// may go unnoticed.
     pub drain_notice_limit: Micros,
-    /// The longest time that a client waits.
+    /// The longest deadline of any class.
     pub longest_deadline: Micros,
 }
 
-/// Reads the file.
+/// Reads and validates the configuration file.
 pub fn load() -> Result<ProxyConfig, ConfigFileError> {
     let path = std::env::var_os(PATH_VARIABLE).ok_or(ConfigFileError::PathMissing)?;
     let path = Path::new(&path);
@@ -100,7 +104,7 @@
 
 impl From<ProxySettingsMessage> for Settings {
     fn from(message: ProxySettingsMessage) -> Settings {
-        let drain_notice_limit = message.stop_sending_within.unwrap_or(MIN_STOP_SENDING);
+        let drain_notice_limit = message.stop_sending_within.unwrap_or(MIN_DRAIN_NOTICE_LIMIT);
         Settings {
             version: 1,
             balancer: message.balancer.config,
@@ -108,7 +112,7 @@
             max_open_requests: message.max_open_requests as usize,
             idle_timeout: message.idle_timeout,
             connect_timeout: message.connect_timeout,
-            drain_notice_limit: drain_notice_limit.clamp(MIN_STOP_SENDING, MAX_STOP_SENDING),
+            drain_notice_limit: drain_notice_limit.clamp(MIN_DRAIN_NOTICE_LIMIT, MAX_DRAIN_NOTICE_LIMIT),
             longest_deadline: message.balancer.longest_deadline,
         }
     }
--- a/src/bin/load-balancer-proxy/main.rs
+++ b/src/bin/load-balancer-proxy/main.rs
@@ -1,4 +1,4 @@
-//! The HTTP proxy: logging and exit codes.
+//! Entry point of the HTTP proxy: sets up logging, runs the proxy and returns its exit code.
 
 mod clock;
 mod config;
@@ -14,7 +14,7 @@
 use startup::StartupError;
 use std::process::ExitCode;
 
-/// The environment variable that sets the least level of the events logged.
+/// Environment variable that sets the minimum level of logged events.
 const LOG_LEVEL_VARIABLE: &str = "BALANCER_LOG";
 
 fn main() -> ExitCode {
@@ -33,7 +33,7 @@
     startup::run(config)
 }
 
-/// Logs to standard error, from `info` on unless the environment says otherwise.
+/// Logs to standard error, at level `info` unless [`LOG_LEVEL_VARIABLE`] sets another.
 fn init_logging() {
     let configured = std::env::var(LOG_LEVEL_VARIABLE).ok().and_then(|level| level.parse().ok());
     let level = configured.unwrap_or(tracing::Level::INFO);
--- a/src/bin/load-balancer-proxy/messages.rs
+++ b/src/bin/load-balancer-proxy/messages.rs
@@ -1,5 +1,5 @@
-//! Messages between the client side of the proxy, discovery, and the dispatcher, which owns requests and
-//! attempts.
+//! Messages between the client side of the proxy, the discovery watch, and the dispatcher, which owns the
+//! requests and attempts.
 
 use crate::config::Settings;
 use crate::upstream::{UpstreamRequest, UpstreamResult};
@@ -16,83 +16,83 @@
 
 /// The final answer to a client's request.
 pub enum FinalAnswer {
-    /// The answer of a backend.
+    /// The response of a backend.
     Served(Response<Bytes>),
-    /// The request had no effect.
+    /// The request was not executed.
     Rejected {
-        /// When the client may come back, from now.
+        /// Time after which the client may retry.
         retry_after: Micros,
     },
-    /// Nothing is promised about its effect.
+    /// The request may or may not have been executed.
     Failed,
 }
 
-/// A request that a client has sent whole.
+/// A request that was received completely.
 pub struct ReceivedRequest {
-    /// Its id; never used again.
+    /// Id of the request; never reused.
     pub id: RequestId,
-    /// Its class under the settings in force.
+    /// Class of the request under the current settings.
     pub class: ClassId,
-    /// Its tenant under the settings in force, if any.
+    /// Tenant of the request under the current settings; `None` if they define no tenants.
     pub tenant: Option<TenantId>,
-    /// When it must have been answered at the latest.
+    /// Time by which the request must be answered.
     pub deadline: Time,
-    /// Work that the client expects, on a standard core.
+    /// Processing time that the client expects, on a standard core; `None` if it sent no hint.
     pub expected_work: Option<Micros>,
-    /// The client says that it sent the request before.
+    /// Whether the client marked the request as a retry.
     pub is_client_retry: bool,
-    /// What goes to a backend.
+    /// The request that is sent to backends.
     pub upstream_request: Rc<UpstreamRequest>,
-    /// Where the final answer goes.
+    /// Receives the final answer.
     pub answer: oneshot::Sender<FinalAnswer>,
 }
 
-/// What the dispatcher acts on.
+/// A message to the dispatcher.
 pub enum DispatcherMessage {
-    /// A client has sent a request.
+    /// A client has sent a complete request.
     RequestReceived(ReceivedRequest),
-    /// The client of a request has closed its connection.
+    /// The client of a pending request has closed its connection.
     ClientDisconnected(RequestId),
-    /// The task of an attempt ended.
+    /// The task of an attempt has ended.
     AttemptEnded {
-        /// The request.
+        /// Request of the attempt.
         request: RequestId,
-        /// The attempt.
+        /// Number of the attempt within its request.
         attempt: AttemptNumber,
-        /// How it ended.
+        /// How the attempt ended.
         result: UpstreamResult,
     },
-    /// An endpoint list arrived, or could not be had.
+    /// An endpoint list was received, or a call to discovery failed.
     EndpointList {
-        /// What the entries stand for.
+        /// How `endpoints` is to be applied.
         update: EndpointListUpdate,
-        /// The entries.
+        /// Entries of the list.
         endpoints: Vec<Endpoint>,
     },
-    /// Other settings are in force.
+    /// A reload replaced the settings.
     SettingsReplaced(SettingsReplacement),
-    /// The process shuts down.
+    /// Graceful shutdown has begun.
     ShutdownStarted {
-        /// Every request has its answer by then.
+        /// Time by which every request is answered.
         deadline: Time,
     },
 }
 
-/// Other settings. Messages before this one were made under those that it replaces, messages after it under
-/// these.
+/// Replacement of the settings. Messages sent before this one refer to the old settings, later ones to the
+/// new.
 pub struct SettingsReplacement {
-    /// The settings from now on.
+    /// The new settings.
     pub settings: Arc<Settings>,
-    /// What changes for the balancer.
+    /// The change of the balancer's configuration.
     pub update: Box<ConfigUpdate>,
-    /// Takes the settings replaced: to free the names of thousands of classes and tenants here would hold up
-    /// requests.
+    /// Receives the old settings, which another thread frees: freeing the names of thousands of classes and
+    /// tenants on the event loop would delay requests.
     pub retired: SyncSender<Arc<Settings>>,
 }
 
-/// State of the dispatcher that the client side reads.
+/// State of the dispatcher that the readiness probe reports.
 #[derive(Default)]
 pub struct ServingStatus {
-    /// Some listed backend can be sent requests, and the dispatcher runs.
+    /// Whether the dispatcher runs and at least one listed backend can receive requests.
     pub is_serving: Cell<bool>,
 }
--- a/src/bin/load-balancer-proxy/reload/config_reader.rs
+++ b/src/bin/load-balancer-proxy/reload/config_reader.rs
@@ -1,5 +1,5 @@
-//! Reads the configuration on a thread of its own, beside the requests, and compares it with what is in
-//! force.
+//! Reads the configuration on a separate thread, so that requests are not delayed, and compares it with the
+//! active one.
 
 use super::restart_only::{KeptKey, RestartOnlySettings};
 use crate::config::{self, Settings};
@@ -11,52 +11,52 @@
 use thiserror::Error;
 use tokio::sync::oneshot;
 
-/// Holders of the settings in force: the server and the dispatcher.
-const SETTINGS_HOLDERS: usize = 2;
+/// Number of components that own a reference to the current settings: the server and the dispatcher.
+const SETTINGS_OWNERS: usize = 2;
 
-/// Why a configuration was not read.
+/// Why a configuration could not be reloaded.
 #[derive(Debug, Error)]
 pub(super) enum ReloadError {
     /// The configuration is missing or invalid.
     #[error("{0}")]
     Config(String),
-    /// The settings just read are shared already.
-    #[error("settings: held elsewhere")]
+    /// The new settings are already shared and cannot be modified.
+    #[error("settings: already shared before the reload finished")]
     SettingsShared,
-    /// The system started no thread.
-    #[error("no thread to read it: {0}")]
+    /// The operating system could not start a thread.
+    #[error("failed to start the reload thread: {0}")]
     ThreadStart(#[source] io::Error),
     /// The thread ended without a result.
-    #[error("the thread that read it ended")]
+    #[error("reload thread ended without a result")]
     ThreadEnded,
 }
 
-/// Settings that differ from those in force.
+/// Settings that differ from the current ones.
 pub(super) struct NewSettings {
-    /// The settings.
+    /// The new settings.
     pub settings: Arc<Settings>,
-    /// What the balancer needs to go on from those in force.
+    /// The change from the current to the new configuration of the balancer.
     pub update: Box<ConfigUpdate>,
 }
 
 /// A valid configuration.
 pub(super) struct LoadedConfig {
-    /// The address of discovery.
+    /// Address of the discovery service.
     pub discovery: SocketAddr,
-    /// The keys for which it needs a restart.
+    /// Changed keys that need a restart and keep their values until then.
     pub kept_keys: Vec<KeptKey>,
-    /// `None`: the settings in force say the same.
+    /// `None` if the settings are the same as the current ones.
     pub new_settings: Option<NewSettings>,
-    /// Takes the settings replaced, which the thread frees.
+    /// Receives the old settings, which the thread frees.
     pub retired: SyncSender<Arc<Settings>>,
 }
 
-/// Starts the thread that reads the configuration.
+/// Starts the thread that reads the configuration; returns the receiver of its result.
 pub(super) fn spawn(
     restart_only: RestartOnlySettings, current: Arc<Settings>,
 ) -> io::Result<oneshot::Receiver<Result<LoadedConfig, ReloadError>>> {
     let (result_sender, result) = oneshot::channel();
-    let (retired_sender, retired) = sync_channel(SETTINGS_HOLDERS);
+    let (retired_sender, retired) = sync_channel(SETTINGS_OWNERS);
     let read = move || {
         let _ = result_sender.send(load(restart_only, &current, retired_sender));
         free_retired(current, retired);
@@ -65,7 +65,7 @@
     Ok(result)
 }
 
-/// Reads the configuration and compares it with the settings in force.
+/// Reads the configuration and compares it with the current settings.
 fn load(
     restart_only: RestartOnlySettings, current: &Settings, retired: SyncSender<Arc<Settings>>,
 ) -> Result<LoadedConfig, ReloadError> {
@@ -85,8 +85,8 @@
     Ok(LoadedConfig { discovery: config.discovery, kept_keys, new_settings, retired })
 }
 
-/// Frees the replaced settings once their holders have sent them back: on the event loop, freeing the names
-/// of thousands of classes and tenants would stall it.
+/// Frees the old settings once their owners have sent them back: freeing the names of thousands of classes
+/// and tenants on the event loop would stall it.
 fn free_retired(current: Arc<Settings>, retired: Receiver<Arc<Settings>>) {
     drop(current);
     for settings in retired {
--- a/src/bin/load-balancer-proxy/reload/mod.rs
+++ b/src/bin/load-balancer-proxy/reload/mod.rs
@@ -1,8 +1,9 @@
-//! SIGHUP: the configuration is read and checked beside the requests and comes into force in one step.
+//! Configuration reload on SIGHUP: the file is read and validated on a separate thread and applied in one
+//! step.
 //!
-//! A setting that may change while the proxy runs is held by the server (requests are parsed by it), the
-//! dispatcher (which passes it on to the connection pool and the balancer) and, for calls to discovery, the
-//! watch's settings. What needs a restart is listed in `restart_only`.
+//! The settings that a reload may change are used by the server, which parses requests with them, by the
+//! dispatcher, which passes them on to the connection pool and the balancer, and by the discovery watch. The
+//! keys that need a restart are listed in `restart_only`.
 
 mod config_reader;
 mod restart_only;
@@ -24,7 +25,7 @@
 use tokio::signal::unix::Signal;
 use tokio::sync::watch;
 
-/// The settings that the watch on discovery depends on.
+/// Returns the settings that the discovery watch depends on.
 pub fn watch_settings(settings: &Settings) -> WatchSettings {
     WatchSettings {
         connect_timeout: duration(settings.connect_timeout),
@@ -33,40 +34,40 @@
     }
 }
 
-/// Puts the configuration in force anew after each SIGHUP.
+/// Reloads the configuration on each SIGHUP.
 pub struct Reloader {
-    /// What stays in force until a restart.
+    /// Settings that stay the same until a restart.
     pub restart_only: RestartOnlySettings,
-    /// Holds the settings in force and reaches the dispatcher.
+    /// Owns the current settings and the channel to the dispatcher.
     pub server: Rc<Server>,
-    /// Where the watch reads the address of discovery.
+    /// Sends the address of the discovery service to the watch.
     pub discovery_address: watch::Sender<SocketAddr>,
-    /// Where the watch reads its settings.
+    /// Settings of the watch, which reads them for each call.
     pub watch_settings: Rc<Cell<WatchSettings>>,
 }
 
 impl Reloader {
-    /// Reloads one configuration after another. Signals during a reload bring one more after it: the last
-    /// file wins.
+    /// Reloads the configuration after each signal, one reload at a time. Signals received during a reload
+    /// are coalesced into one further reload, so the last file wins.
     pub async fn run(self, mut hangup: Signal) {
         while hangup.recv().await.is_some() {
             match self.read().await {
-                Ok(loaded) => self.put_in_force(loaded),
+                Ok(loaded) => self.apply(loaded),
                 Err(error) => tracing::error!(%error, "SIGHUP: configuration rejected"),
             }
         }
     }
 
-    /// Reads the configuration on a thread that neither requests nor the end of the process wait for.
+    /// Reads the configuration on a thread that blocks neither requests nor the exit of the process.
     async fn read(&self) -> Result<LoadedConfig, ReloadError> {
         let spawn = || config_reader::spawn(self.restart_only, self.server.settings());
         let loaded = resource_exhaustion::retry(spawn).await.map_err(ReloadError::ThreadStart)?;
         loaded.await.map_err(|_| ReloadError::ThreadEnded)?
     }
 
-    /// Runs without an await point and sends the dispatcher its message in turn: each request finds one
-    /// configuration.
-    fn put_in_force(&self, loaded: LoadedConfig) {
+    /// Applies a configuration. There is no await point, and the dispatcher receives its message in order
+    /// with the requests, so that each request is handled under a single configuration.
+    fn apply(&self, loaded: LoadedConfig) {
         for kept in loaded.kept_keys {
             tracing::warn!(key = %kept.key, value = %kept.value, "SIGHUP: key needs a restart");
         }
--- a/src/bin/load-balancer-proxy/reload/restart_only.rs
+++ b/src/bin/load-balancer-proxy/reload/restart_only.rs
@@ -1,29 +1,29 @@
-//! Keys of the configuration that keep their values until a restart.
+//! Configuration keys whose changes take effect only after a restart.
 
 use crate::config::ProxyConfig;
 use load_balancer::DiscoveryMode;
 use std::net::SocketAddr;
 
-/// The values that stay in force until a restart.
+/// The values of the keys that need a restart to change.
 #[derive(Clone, Copy)]
 pub struct RestartOnlySettings {
     listen: SocketAddr,
     seed: u64,
     max_file_descriptors: usize,
-    /// The endpoint list is subscribed to, not pushed.
+    /// Whether the endpoint list is subscribed to, rather than pushed.
     is_subscribed: bool,
 }
 
-/// A key that keeps its value until a restart, where the file has another one.
+/// A key that keeps its value until a restart although the file has a different one.
 pub(super) struct KeptKey {
-    /// The key in the file.
+    /// Path of the key in the file.
     pub key: &'static str,
-    /// The value that stays in force.
+    /// The value that is kept.
     pub value: String,
 }
 
 impl RestartOnlySettings {
-    /// Those of a configuration.
+    /// Returns the restart-only settings of a configuration.
     pub fn of(config: &ProxyConfig) -> RestartOnlySettings {
         RestartOnlySettings {
             listen: config.listen,
@@ -33,12 +33,12 @@
         }
     }
 
-    /// Whether the endpoint list may be had in this way without a restart.
+    /// Whether a reload may switch to this discovery mode.
     pub(super) fn allows(&self, mode: DiscoveryMode) -> bool {
         self.is_subscribed == is_subscribed(mode)
     }
 
-    /// The keys for which another configuration has other values.
+    /// Returns the keys whose values differ in `other`, with the values that are kept.
     pub(super) fn kept_keys(&self, other: &RestartOnlySettings) -> Vec<KeptKey> {
         let mut kept = Vec::new();
         let mut keep = |key, value| kept.push(KeptKey { key, value });
--- a/src/bin/load-balancer-proxy/server/capacity.rs
+++ b/src/bin/load-balancer-proxy/server/capacity.rs
@@ -1,5 +1,5 @@
-//! Limits the open client connections: with every slot taken, inactive connections are closed for new
-//! clients.
+//! Limits the number of open client connections: at capacity, inactive connections are closed to make room
+//! for new clients.
 
 use super::client_connection::CloseMode;
 use super::Server;
@@ -7,29 +7,29 @@
 use load_balancer::Time;
 use std::time::Duration;
 
-/// Least time between two checks: a connection that was asked to close needs some time for it.
-const CHECK_INTERVAL: Duration = Duration::from_millis(10);
+/// Minimum time between two checks at capacity, so that a connection that was asked to close can do so.
+const MIN_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
 impl Server {
-    /// Every client connection slot is taken.
+    /// Whether the maximum number of client connections is open.
     pub(super) fn is_at_capacity(&self) -> bool {
         self.connections.borrow().len() >= self.max_connections
     }
 
-    /// With every slot taken, asks the connection that has been idle longest to close, or else those that
+    /// At capacity, asks the connection that has been idle longest to close or, if none is idle, those that
     /// have been inactive for too long. Returns when to check again.
-    pub(super) fn make_capacity(&self) -> Time {
+    pub(super) fn reclaim_capacity(&self) -> Time {
         if !self.is_at_capacity() {
             return Time::NEVER;
         }
-        let earliest_check = self.clock.now() + micros(CHECK_INTERVAL);
+        let earliest_check = self.clock.now() + micros(MIN_CHECK_INTERVAL);
         if self.close_longest_idle() {
             return earliest_check;
         }
         self.close_inactive().max(earliest_check)
     }
 
-    /// Asks the connection that has been idle longest to close; `false` if none is idle.
+    /// Asks the connection that has been idle longest to close; returns `false` if none is idle.
     fn close_longest_idle(&self) -> bool {
         let connections = self.connections.borrow();
         let open = connections.values().filter(|connection| connection.close_mode().is_none());
@@ -39,8 +39,8 @@
         true
     }
 
-    /// Asks the connections that have been inactive for too long to close; returns when the next one will
-    /// have been.
+    /// Asks the connections that have been inactive for too long to close; returns the next time at which
+    /// this applies to another one.
     fn close_inactive(&self) -> Time {
         let mut next = Time::NEVER;
         for connection in self.connections.borrow().values() {
--- a/src/bin/load-balancer-proxy/server/client_connection.rs
+++ b/src/bin/load-balancer-proxy/server/client_connection.rs
@@ -1,8 +1,8 @@
-//! The state of a client connection, its timeouts, and the request to close it.
+//! State and timeouts of a client connection, and requests to close it.
 //!
-//! A connection is idle, receives the head of a request, handles it (reads its body, then awaits its answer),
-//! and is idle again. What it does follows from the first byte since the last answer and from what its task
-//! has noted.
+//! A connection is idle, receives the head of a request, handles the request (reads its body, then awaits its
+//! answer), and is idle again. The state is derived from the time of the first byte since the last answer and
+//! from the flags that the connection's task and request handler set.
 
 use crate::clock::{micros, Clock};
 use load_balancer::{Micros, Time};
@@ -11,39 +11,39 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 
-/// A connection without input for this long is closed, also between requests: silent peers would use up the
-/// descriptors. A proxy may close an idle connection after 2 s.
+/// A connection is closed after this time without input, also between requests, because silent peers would
+/// exhaust the file descriptors. The platform lets a proxy close idle connections after 2 s.
 const CLIENT_IDLE_TIMEOUT: Duration = Duration::from_millis(2100);
-/// Time for a request to be complete, from the opening of its connection, or from its own first byte if
-/// others were answered before it. A peer that never completes one is owed an error within 3 s; the rest
-/// covers a stall.
+/// Time within which a request must be received completely, counted from the opening of its connection, or
+/// from its own first byte if earlier requests on the connection were answered. A peer that never completes a
+/// request must get an error within 3 s; the difference allows for a stall of the process.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(2750);
-/// At capacity, a connection without any input is closed after this time: a client sends its request far
-/// sooner.
+/// At capacity, a connection without any input is closed after this time. Clients usually send their request
+/// much earlier.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(100);
-/// At capacity, a request without further input is answered 408 after this time.
+/// At capacity, an incomplete request is answered with 408 after this time without further input.
 const STALLED_REQUEST_TIMEOUT: Duration = Duration::from_millis(450);
 
-/// A first byte that is read this soon after the accept may have arrived before it.
-const IMMEDIATE_READ: Duration = Duration::from_millis(40);
-/// The longest wait for the accept that a request's time left is reduced by.
+/// A first byte read within this time after the accept may have arrived before the accept.
+const MAX_QUEUED_READ_DELAY: Duration = Duration::from_millis(40);
+/// Upper bound of the accept delay that is deducted from a request's remaining time.
 const MAX_ACCEPT_DELAY: Duration = Duration::from_millis(300);
 
-/// When a client sent something.
+/// Times at which a client sent data.
 pub struct Activity {
     clock: Clock,
-    /// The first since the last answer.
+    /// Time of the first byte since the last answer.
     first_byte_at: Cell<Option<Time>>,
     last_byte_at: Cell<Option<Time>>,
 }
 
 impl Activity {
-    /// Nothing was sent yet.
+    /// Creates a record without any reads.
     pub fn new(clock: Clock) -> Activity {
         Activity { clock, first_byte_at: Cell::default(), last_byte_at: Cell::default() }
     }
 
-    /// Some bytes were read now.
+    /// Records that bytes were read now.
     pub fn record_read(&self) {
         let now = self.clock.now();
         self.first_byte_at.set(self.first_byte_at.get().or(Some(now)));
@@ -54,48 +54,49 @@
 /// How a connection is closed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum CloseMode {
-    /// Between requests; one that has begun is answered first.
+    /// After the current request, if any, is answered.
     Graceful,
-    /// A request that has begun and is not complete is answered 408.
+    /// An incomplete request is answered with 408.
     TimeOutRequest,
 }
 
 /// When and how a connection is closed unless its state changes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CloseDeadline {
-    /// From then on it is closed.
+    /// Time from which the connection is closed.
     pub at: Time,
-    /// How it is closed.
+    /// How the connection is closed.
     pub mode: CloseMode,
 }
 
-/// A client's connection.
+/// State of a client connection.
 pub struct ClientConnection {
     clock: Clock,
-    /// The earliest time at which it may have been opened; it waited from then on until it was accepted.
+    /// Earliest time at which the client may have opened the connection; it was queued from then to
+    /// `accepted_at`.
     opened_at: Time,
     accepted_at: Time,
-    /// When its client sent something.
+    /// Times at which the client sent data.
     pub activity: Rc<Activity>,
-    /// Since when it has been idle between requests.
+    /// Time of the last answer, until the head of the next request is read.
     idle_since: Cell<Option<Time>>,
-    /// Some request on it was answered.
+    /// Whether a request on the connection has been answered.
     has_answered: Cell<bool>,
-    /// The head of a request was read, and its answer has not been given.
+    /// Whether the head of a request was read and the request is not answered yet.
     is_handling_request: Cell<bool>,
-    /// A request on it was read whole and waits for its answer.
+    /// Whether a request was read completely and awaits its answer.
     is_awaiting_answer: Cell<bool>,
     close_mode: Cell<Option<CloseMode>>,
-    /// It was asked to close.
+    /// Notified when the connection is asked to close.
     pub close_requested: Notify,
-    /// The request whose body is being read is to be answered 408.
+    /// Notified when a request whose body is being read has to be answered with 408.
     pub request_timed_out: Notify,
-    /// It has become idle, and its idle timeout begins.
+    /// Notified when the connection becomes idle and its idle timeout begins.
     pub became_idle: Notify,
 }
 
 impl ClientConnection {
-    /// A connection accepted now that may have waited `accept_delay` for it.
+    /// Creates the state of a connection that is accepted now, after a wait of up to `accept_delay`.
     pub fn new(clock: Clock, accept_delay: Duration) -> ClientConnection {
         let accepted_at = clock.now();
         ClientConnection {
@@ -114,23 +115,23 @@
         }
     }
 
-    /// The head of a request was read.
+    /// Records that the head of a request was read.
     pub fn begin_request(&self) {
         self.is_handling_request.set(true);
         self.idle_since.set(None);
     }
 
-    /// The request was read whole and waits for its answer, or does so no longer.
+    /// Sets whether a request was read completely and awaits its answer.
     pub fn set_awaiting_answer(&self, is_awaiting_answer: bool) {
         self.is_awaiting_answer.set(is_awaiting_answer);
     }
 
-    /// A request on it was read whole and waits for its answer.
+    /// Whether a request was read completely and awaits its answer.
     pub fn is_awaiting_answer(&self) -> bool {
         self.is_awaiting_answer.get()
     }
 
-    /// The request has its answer.
+    /// Records that the request was answered.
     pub fn end_request(&self) {
         self.is_handling_request.set(false);
         self.has_answered.set(true);
@@ -139,27 +140,28 @@
         self.became_idle.notify_one();
     }
 
-    /// When the request that has begun has to be complete.
+    /// Returns the time by which the current request must be received completely.
     pub fn request_read_deadline(&self) -> Time {
         if self.has_answered.get() {
             let first_byte_at = self.activity.first_byte_at.get().unwrap_or(self.clock.now());
             return first_byte_at + micros(REQUEST_TIMEOUT);
         }
-        let least = self.accepted_at + micros(STALLED_REQUEST_TIMEOUT);
-        least.max(self.opened_at + micros(REQUEST_TIMEOUT))
+        let earliest = self.accepted_at + micros(STALLED_REQUEST_TIMEOUT);
+        earliest.max(self.opened_at + micros(REQUEST_TIMEOUT))
     }
 
-    /// How long the request that has begun may have waited for its connection to be accepted.
+    /// Returns how long the current request may have waited for its connection to be accepted.
     pub fn accept_delay(&self) -> Micros {
         let first_byte_at = self.activity.first_byte_at.get().unwrap_or(self.accepted_at);
-        if self.has_answered.get() || first_byte_at - self.accepted_at > micros(IMMEDIATE_READ) {
+        if self.has_answered.get() || first_byte_at - self.accepted_at > micros(MAX_QUEUED_READ_DELAY) {
             return Micros(0);
         }
         (self.accepted_at - self.opened_at).min(micros(MAX_ACCEPT_DELAY))
     }
 
-    /// When it is closed unless its state changes; `None` while a request is handled, whose body has a
-    /// deadline of its own, or if it was asked to close and no request has begun.
+    /// Returns when and how the connection is closed unless its state changes. `None` while a request is
+    /// handled, because its body has a separate deadline, and if the connection was asked to close and no
+    /// request has begun.
     pub fn close_deadline(&self) -> Option<CloseDeadline> {
         if self.is_handling_request.get() {
             return None;
@@ -174,8 +176,9 @@
         Some(CloseDeadline { at: self.idle_deadline(), mode: CloseMode::Graceful })
     }
 
-    /// When it is closed at capacity because it is inactive; `None` where it is idle between requests, as
-    /// those connections are closed first.
+    /// Returns when and how the connection is closed at capacity because it is inactive. `None` if it was
+    /// asked to close, awaits an answer, or is idle between requests; the latter connections are closed
+    /// first.
     pub fn close_deadline_at_capacity(&self) -> Option<CloseDeadline> {
         if self.close_mode.get().is_some() || self.is_awaiting_answer.get() || self.idle_since().is_some() {
             return None;
@@ -192,7 +195,7 @@
         })
     }
 
-    /// Asks it to close if its deadline has passed; `false` if not.
+    /// Asks the connection to close if its deadline has passed; returns `false` if it has not.
     pub fn close_if_overdue(&self) -> bool {
         match self.close_deadline() {
             Some(deadline) if deadline.at <= self.clock.now() => {
@@ -203,7 +206,7 @@
         }
     }
 
-    /// Asks it to close.
+    /// Asks the connection to close.
     pub fn request_close(&self, mode: CloseMode) {
         self.close_mode.set(Some(mode));
         self.close_requested.notify_one();
@@ -212,27 +215,28 @@
         }
     }
 
-    /// How it was asked to close, if it was.
+    /// Returns how the connection was asked to close, if it was.
     pub fn close_mode(&self) -> Option<CloseMode> {
         self.close_mode.get()
     }
 
-    /// Since when it has been idle: its client has sent nothing after the last answer.
+    /// Returns since when the connection has been idle between requests. `None` before the first answer and
+    /// once the client has sent the first byte of the next request.
     pub fn idle_since(&self) -> Option<Time> {
         self.idle_since.get().filter(|_| self.activity.first_byte_at.get().is_none())
     }
 
-    /// Its client has sent nothing since it was accepted.
+    /// Whether the client has sent nothing since the connection was accepted.
     pub fn has_sent_nothing(&self) -> bool {
         self.activity.last_byte_at.get().is_none()
     }
 
-    /// The head of a request on it has begun and is not complete.
+    /// Whether the head of a request is partially received.
     pub fn is_receiving_head(&self) -> bool {
         !self.is_handling_request.get() && self.activity.first_byte_at.get().is_some()
     }
 
-    /// A request on it has begun and is not complete.
+    /// Whether the head or body of a request is partially received.
     pub fn is_receiving_request(&self) -> bool {
         !self.is_awaiting_answer.get()
             && (self.is_handling_request.get() || self.activity.first_byte_at.get().is_some())
@@ -242,8 +246,8 @@
         match self.idle_since.get() {
             Some(since) => since + micros(CLIENT_IDLE_TIMEOUT),
             None => {
-                let least = self.accepted_at + micros(SILENCE_TIMEOUT);
-                least.max(self.opened_at + micros(CLIENT_IDLE_TIMEOUT))
+                let earliest = self.accepted_at + micros(SILENCE_TIMEOUT);
+                earliest.max(self.opened_at + micros(CLIENT_IDLE_TIMEOUT))
             }
         }
     }
--- a/src/bin/load-balancer-proxy/server/client_socket.rs
+++ b/src/bin/load-balancer-proxy/server/client_socket.rs
@@ -1,5 +1,7 @@
-//! A client's socket, read ahead while a request awaits its answer: hyper then reads no further than the next
-//! byte, and bytes that a client has sent beyond it would hide that the client has disconnected.
+//! A client's socket that is read ahead while a request awaits its answer.
+//!
+//! In that state, hyper reads no more than the next byte, so that further bytes sent by the client would hide
+//! the end of its stream, and with it that the client has disconnected.
 
 use super::client_connection::Activity;
 use crate::headers::MAX_BODY_BYTES;
@@ -16,40 +18,40 @@
 use tokio::io::{AsyncRead, ReadBuf};
 use tokio::net::TcpStream;
 
-/// Bytes read ahead that are kept: more than the largest body at once is no request of a client. The rest is
-/// read, to see the end of the stream, and dropped.
+/// Maximum number of bytes that are read ahead and buffered; more than that is no valid request of a client.
+/// Further bytes are still read, to detect the end of the stream, and dropped.
 const MAX_READ_AHEAD_BYTES: usize = 2 * MAX_BODY_BYTES;
-const READ_BYTES: usize = 4096;
-/// How long the end of a client's stream is waited for: a client closes once it has read the end of the
-/// answer, and peers that do not close hold a descriptor for so long.
-const LINGER: Duration = Duration::from_millis(500);
-/// The same for a peer whose request was never complete: it has ceased to send.
-const TIMEOUT_LINGER: Duration = Duration::from_millis(100);
-/// The answer to a request whose head was never complete, of which hyper knows nothing yet.
+const READ_BUFFER_BYTES: usize = 4096;
+/// How long to wait for the end of a client's stream after the last answer. A client closes the connection
+/// once it has read that answer; a peer that does not close it occupies a descriptor for this long.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
+/// The same for a peer whose request was never completed and that has stopped sending.
+const STALLED_PEER_LINGER_TIMEOUT: Duration = Duration::from_millis(100);
+/// Response to a request whose head was never completed; hyper does not know about the request yet.
 const TIMEOUT_RESPONSE: &[u8] =
     b"HTTP/1.1 408 Request Timeout\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
 
-/// What a connection ends with.
+/// The last response on a connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum LastResponse {
     /// The answer to a complete request.
     Answer,
-    /// The answer 408 to a request whose head was never complete.
+    /// A 408 response to an incomplete request.
     Timeout,
 }
 
 struct Socket {
     io: TokioIo<TcpStream>,
-    /// Bytes that were read ahead of hyper.
+    /// Bytes that were read ahead and not passed to hyper yet.
     read_ahead: BytesMut,
-    /// More was sent than is kept; the rest is lost.
+    /// Whether bytes were dropped because the buffer was full.
     is_truncated: bool,
     has_written: bool,
     activity: Rc<Activity>,
 }
 
 impl Socket {
-    fn keep(&mut self, bytes: &[u8]) {
+    fn buffer(&mut self, bytes: &[u8]) {
         self.is_truncated |= self.read_ahead.len() + bytes.len() > MAX_READ_AHEAD_BYTES;
         if !self.is_truncated {
             self.read_ahead.extend_from_slice(bytes);
@@ -62,7 +64,7 @@
 pub struct ClientSocket(Rc<RefCell<Socket>>);
 
 impl ClientSocket {
-    /// Records in `activity` when bytes are read.
+    /// Wraps a connected stream; reads are recorded in `activity`.
     pub fn new(stream: TcpStream, activity: Rc<Activity>) -> ClientSocket {
         ClientSocket(Rc::new(RefCell::new(Socket {
             io: TokioIo::new(stream),
@@ -73,24 +75,24 @@
         })))
     }
 
-    /// Answers the request that has begun with 408, and ends the connection.
+    /// Answers the incomplete request with 408 and ends the connection.
     pub async fn send_timeout_response(&self) {
         let written = poll_fn(|cx| Pin::new(&mut self.0.borrow_mut().io).poll_write(cx, TIMEOUT_RESPONSE));
-        let _ = tokio::time::timeout(TIMEOUT_LINGER, written).await;
+        let _ = tokio::time::timeout(STALLED_PEER_LINGER_TIMEOUT, written).await;
         self.0.borrow_mut().has_written = true;
         self.linger(LastResponse::Timeout).await;
     }
 
-    /// Ends the connection after its last answer: reads what still comes, up to the end of the client's
-    /// stream. A socket closed with unread bytes resets the connection, which may destroy the answer on its
-    /// way.
+    /// Ends the connection after its last response: shuts down the sending side and reads up to the end of
+    /// the client's stream. Closing a socket with unread bytes resets the connection, and the client may lose
+    /// the response.
     pub async fn linger(&self, last_response: LastResponse) {
         if !self.0.borrow().has_written {
             return;
         }
         let timeout = match last_response {
-            LastResponse::Answer => LINGER,
-            LastResponse::Timeout => TIMEOUT_LINGER,
+            LastResponse::Answer => LINGER_TIMEOUT,
+            LastResponse::Timeout => STALLED_PEER_LINGER_TIMEOUT,
         };
         let end = async {
             let shutdown = poll_fn(|cx| Pin::new(&mut self.0.borrow_mut().io).poll_shutdown(cx)).await;
@@ -101,17 +103,17 @@
         let _ = tokio::time::timeout(timeout, end).await;
     }
 
-    /// Ready once the client has closed or reset the connection, whatever it sent before that.
+    /// Ready once the client has closed or reset the connection, even if it sent further bytes before.
     pub fn poll_disconnected(&self, cx: &mut Context) -> Poll<()> {
         let socket = &mut *self.0.borrow_mut();
         loop {
-            let mut buffer = [0; READ_BYTES];
+            let mut buffer = [0; READ_BUFFER_BYTES];
             let mut read = ReadBuf::new(&mut buffer);
             let result = ready!(Pin::new(socket.io.inner_mut()).poll_read(cx, &mut read));
             if result.is_err() || read.filled().is_empty() {
                 return Poll::Ready(());
             }
-            socket.keep(read.filled());
+            socket.buffer(read.filled());
         }
     }
 }
@@ -129,7 +131,7 @@
         if !socket.read_ahead.is_empty() {
             socket.activity.record_read();
         }
-        // A truncated stream ends here for hyper, which closes the connection after the current answer.
+        // hyper sees the end of a truncated stream here and closes the connection after the current answer.
         let length = socket.read_ahead.len().min(buffer.remaining());
         buffer.put_slice(&socket.read_ahead[..length]);
         socket.read_ahead.advance(length);
--- a/src/bin/load-balancer-proxy/server/connection_task.rs
+++ b/src/bin/load-balancer-proxy/server/connection_task.rs
@@ -1,4 +1,4 @@
-//! One client connection from its accept to its end.
+//! The task that serves one client connection, from accept to close.
 
 use super::client_connection::{ClientConnection, CloseMode};
 use super::client_socket::{ClientSocket, LastResponse};
@@ -13,7 +13,7 @@
 use std::task::Poll;
 use tokio::net::TcpStream;
 
-/// Frees the connection's slot however its task ends, a panic included.
+/// Removes the connection from the server's open connections when its task ends, even by a panic.
 struct ConnectionSlot<'a> {
     id: u64,
     server: &'a Server,
@@ -26,27 +26,27 @@
     }
 }
 
-/// What follows for a connection that was asked to close.
+/// The next step towards closing a connection that was asked to close.
 enum CloseStep {
-    /// Nothing yet: a request on it still has to be answered.
+    /// Do nothing yet: a pending request has to be answered first.
     Wait,
-    /// The current request, if there is one, is the last.
+    /// Close after the current request, if there is one.
     StopAfterRequest,
-    /// The request whose head is incomplete is answered 408. One whose body is incomplete is answered by its
-    /// handler.
+    /// Answer the request with the incomplete head with 408. A request with an incomplete body is answered by
+    /// its handler instead.
     TimeOutRequest,
-    /// The connection is dropped.
+    /// Drop the connection without a response.
     Drop,
 }
 
 impl CloseStep {
     fn of(client: &ClientConnection) -> CloseStep {
         if client.has_sent_nothing() {
-            return CloseStep::Drop; // no request has begun: no answer is owed
+            return CloseStep::Drop; // no request has begun, so there is none to answer
         }
         match client.close_mode() {
             Some(CloseMode::TimeOutRequest) if client.is_receiving_head() => CloseStep::TimeOutRequest,
-            // A request begun meanwhile is answered, with the notice that it is the last.
+            // A request that has begun meanwhile is still answered, with `Connection: close`.
             Some(CloseMode::Graceful) if !client.is_receiving_request() => CloseStep::StopAfterRequest,
             _ => CloseStep::Wait,
         }
@@ -61,7 +61,7 @@
 }
 
 impl Server {
-    /// Serves an accepted connection in a task of its own.
+    /// Spawns a task that serves an accepted connection.
     pub(super) fn spawn_connection(self: Rc<Self>, accepted: Accepted) {
         let Accepted { stream, since } = accepted;
         let _ = stream.set_nodelay(true);
@@ -74,7 +74,7 @@
         });
     }
 
-    /// Serves a connection to its end.
+    /// Serves a connection until it is closed.
     async fn serve_connection(&self, stream: TcpStream, client: &ClientConnection) {
         let service = service_fn(|request| self.handle_request(request, client));
         let mut http = http1::Builder::new();
--- a/src/bin/load-balancer-proxy/server/abandonment_guard.rs
+++ b/src/bin/load-balancer-proxy/server/disconnect_guard.rs
@@ -7,16 +7,16 @@
 use std::fmt;
 use std::rc::Rc;
 
-/// How a request that the dispatcher knows of ended for its client.
+/// How a request that was sent to the dispatcher ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum RequestOutcome {
-    /// It has the answer of a backend.
+    /// The client received the response of a backend.
     Served,
-    /// It was answered that it had no effect.
+    /// The client was told that the request was not executed.
     Rejected,
-    /// It was answered without a promise about its effect.
+    /// The client was told that the request failed; it may or may not have been executed.
     Failed,
-    /// The client closed its connection first.
+    /// The client closed its connection before the request was answered.
     ClientDisconnected,
 }
 
@@ -31,9 +31,10 @@
     }
 }
 
-/// Guards a request that the dispatcher knows of: dropped before it is completed, its client has
-/// disconnected.
-pub(super) struct AbandonmentGuard<'a> {
+/// Notifies the dispatcher that the client has disconnected if it is dropped before [`complete`] is called.
+///
+/// [`complete`]: DisconnectGuard::complete
+pub(super) struct DisconnectGuard<'a> {
     server: &'a Server,
     id: RequestId,
     upstream_request: Rc<UpstreamRequest>,
@@ -41,21 +42,21 @@
     is_answered: bool,
 }
 
-impl<'a> AbandonmentGuard<'a> {
-    /// Guards a request whose head was read at `received_at`.
+impl<'a> DisconnectGuard<'a> {
+    /// Creates a guard for a request whose head was read at `received_at`.
     pub fn new(
         server: &'a Server, id: RequestId, upstream_request: Rc<UpstreamRequest>, received_at: Time,
-    ) -> AbandonmentGuard<'a> {
-        AbandonmentGuard { server, id, upstream_request, received_at, is_answered: false }
+    ) -> DisconnectGuard<'a> {
+        DisconnectGuard { server, id, upstream_request, received_at, is_answered: false }
     }
 
-    /// The request has its final answer.
+    /// Logs the outcome of an answered request and disarms the guard.
     pub fn complete(mut self, outcome: RequestOutcome) {
         self.is_answered = true;
         self.log_end(outcome);
     }
 
-    /// The last log event of a request.
+    /// Logs the last event of the request.
     fn log_end(&self, outcome: RequestOutcome) {
         tracing::debug!(
             %outcome,
@@ -67,7 +68,7 @@
     }
 }
 
-impl Drop for AbandonmentGuard<'_> {
+impl Drop for DisconnectGuard<'_> {
     fn drop(&mut self) {
         if !self.is_answered {
             self.log_end(RequestOutcome::ClientDisconnected);
--- a/src/bin/load-balancer-proxy/server/graceful_shutdown.rs
+++ b/src/bin/load-balancer-proxy/server/graceful_shutdown.rs
@@ -1,4 +1,4 @@
-//! Graceful shutdown: from SIGTERM to the last answer, before the platform kills the process.
+//! Graceful shutdown: answers all pending requests after SIGTERM, before the platform sends SIGKILL.
 
 use super::client_connection::{ClientConnection, CloseMode};
 use super::listener::{Accepted, Acceptor, ListenQueue};
@@ -9,36 +9,37 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Connections are accepted for this long after SIGTERM: clients still open some.
+/// How long connections are still accepted after SIGTERM, because clients continue to open some.
 const ACCEPT_PERIOD: Duration = Duration::from_millis(500);
-/// The longest time of a request that is waited for. The platform sends SIGKILL 0.7 s after it, counted from
-/// SIGTERM.
+/// Upper bound of the time, from SIGTERM, that pending requests are given to complete. The platform sends
+/// SIGKILL 0.7 s after the longest deadline of a class, or after this bound if that is shorter.
 const MAX_REQUEST_TIME: Micros = Micros(3_000_000);
-/// Time for answers after that; the 0.2 s up to SIGKILL are for a stall of 0.15 s and the way to the client.
-const ANSWER_PERIOD: Micros = Micros(500_000);
-/// Time to write the last 408 responses, counted from then: a process that was stalled until then has written
-/// none.
+/// Time after that in which requests are still answered. It ends 0.2 s before SIGKILL, which allows for a
+/// stall of 0.15 s and the transmission to the client.
+const ANSWER_GRACE_PERIOD: Micros = Micros(500_000);
+/// Time for writing the last 408 responses after the answer deadline. It starts when they are requested,
+/// because a process that was stalled until then has not written any.
 const TIMEOUT_RESPONSE_PERIOD: Duration = Duration::from_millis(100);
 
-/// When the listener is closed if the shutdown begins now.
-pub(super) fn end_of_accepting() -> Instant {
+/// Returns when to stop accepting connections if the shutdown begins now.
+pub(super) fn accept_deadline() -> Instant {
     Instant::now() + ACCEPT_PERIOD
 }
 
 impl Server {
-    /// Begins the shutdown and notifies the dispatcher; returns the deadline of all answers.
+    /// Begins the shutdown and notifies the dispatcher; returns the time by which every request is answered.
     pub(super) fn begin_shutdown(&self) -> Time {
         self.is_shutting_down.set(true);
         let longest_deadline = self.settings.borrow().longest_deadline;
         let signalled_at = self.clock.now().saturating_sub(self.stall_detector.unobserved_time());
-        let deadline = signalled_at + longest_deadline.min(MAX_REQUEST_TIME) + ANSWER_PERIOD;
+        let deadline = signalled_at + longest_deadline.min(MAX_REQUEST_TIME) + ANSWER_GRACE_PERIOD;
         self.notify_dispatcher(DispatcherMessage::ShutdownStarted { deadline });
         deadline
     }
 
-    /// Serves what the system has accepted and what is open, up to the deadline; answers incomplete requests
-    /// 408 then.
-    pub(super) async fn finish(self: &Rc<Self>, acceptor: Acceptor, deadline: Time) {
+    /// Serves the queued and open connections until all are closed or the deadline passes, and then answers
+    /// the incomplete requests with 408.
+    pub(super) async fn finish_shutdown(self: &Rc<Self>, acceptor: Acceptor, deadline: Time) {
         let queue = acceptor.into_queue().inspect_err(|error| tracing::error!(%error, "listen queue lost"));
         let mut queue = queue.ok();
         let deadline = self.clock.instant(deadline);
@@ -49,7 +50,7 @@
         let _ = tokio::time::timeout(TIMEOUT_RESPONSE_PERIOD, self.drain(&mut queue)).await;
     }
 
-    /// Serves what waits in the queue and what is open, until nothing is.
+    /// Serves the queued and open connections until all are closed.
     async fn drain(self: &Rc<Self>, queue: &mut Option<ListenQueue>) {
         loop {
             self.close_connections(|connection| connection.idle_since().is_some(), CloseMode::Graceful);
@@ -67,16 +68,16 @@
         }
     }
 
-    fn close_connections(&self, is_affected: impl Fn(&ClientConnection) -> bool, mode: CloseMode) {
+    fn close_connections(&self, should_close: impl Fn(&ClientConnection) -> bool, mode: CloseMode) {
         for connection in self.connections.borrow().values() {
-            if is_affected(connection) {
+            if should_close(connection) {
                 connection.request_close(mode);
             }
         }
     }
 }
 
-/// The next connection of the queue, `None` once it is empty; never ready without a queue.
+/// Returns the next connection of the queue, or `None` once it is empty; never completes without a queue.
 async fn next_accepted(queue: &mut Option<ListenQueue>) -> Option<Accepted> {
     match queue {
         Some(queue) => queue.next().await,
--- a/src/bin/load-balancer-proxy/server/listener.rs
+++ b/src/bin/load-balancer-proxy/server/listener.rs
@@ -1,4 +1,4 @@
-//! The listening socket: accepts client connections one by one, whatever fails with a single call.
+//! The listening socket: accepts client connections and continues after failed calls of accept.
 
 use load_balancer::net::backoff::Backoff;
 use load_balancer::net::resource_exhaustion::is_exhausted;
@@ -8,16 +8,16 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::Instant;
 
-/// A client's connection.
+/// An accepted client connection.
 pub struct Accepted {
-    /// The connection.
+    /// Stream of the connection.
     pub stream: TcpStream,
-    /// Since when it may have waited to be accepted.
+    /// Earliest time at which the connection may have been queued.
     pub since: Instant,
 }
 
 impl Accepted {
-    /// A connection accepted now, or that may have waited from `waiting_since` on.
+    /// Creates a connection that may have been queued since `waiting_since`, or not at all if that is `None`.
     fn new(stream: TcpStream, waiting_since: Option<Instant>) -> Accepted {
         Accepted { stream, since: waiting_since.unwrap_or_else(Instant::now) }
     }
@@ -27,22 +27,22 @@
 pub struct Acceptor {
     listener: TcpListener,
     backoff: Backoff,
-    /// Since when connections may wait to be accepted; `None` once the queue was found empty after that.
+    /// Time since which connections may be queued; `None` if the queue was found empty at the last check.
     waiting_since: Option<Instant>,
 }
 
 impl Acceptor {
-    /// Accepts the connections of a listening socket.
+    /// Creates an acceptor for a listening socket.
     pub fn new(listener: TcpListener) -> Acceptor {
         Acceptor { listener, backoff: Backoff::new(), waiting_since: None }
     }
 
-    /// No connection is accepted until the next call of [`Acceptor::accept`].
+    /// Records that connections may queue up from now until the next call of [`Acceptor::accept`].
     pub fn pause(&mut self) {
         self.waiting_since.get_or_insert_with(Instant::now);
     }
 
-    /// The next connection. Dropped before it is ready, it loses none.
+    /// Accepts the next connection. Cancel safe: no connection is lost if the future is dropped.
     pub async fn accept(&mut self) -> Accepted {
         loop {
             self.backoff.wait().await;
@@ -56,11 +56,11 @@
                     record_failure(&mut self.backoff, &error);
                 }
             }
-            tokio::task::yield_now().await; // a run of failures does not keep the other tasks waiting
+            tokio::task::yield_now().await; // so that a series of failures does not starve the other tasks
         }
     }
 
-    /// The connections that the system has accepted and the proxy has not.
+    /// Returns the connections that are still queued by the operating system.
     pub fn into_queue(self) -> io::Result<ListenQueue> {
         let waiting_since = self.waiting_since;
         Ok(ListenQueue { listener: self.listener.into_std()?, backoff: Backoff::new(), waiting_since })
@@ -75,7 +75,8 @@
     }
 }
 
-/// The connections that were waiting when the proxy ceased to accept. Dropping it closes the socket.
+/// The connections that were queued when the proxy stopped accepting. Dropping it closes the listening
+/// socket.
 pub struct ListenQueue {
     listener: std::net::TcpListener,
     backoff: Backoff,
@@ -83,8 +84,8 @@
 }
 
 impl ListenQueue {
-    /// The next connection, if there is one; waits while resources for it are exhausted. Dropped before it is
-    /// ready, it loses none.
+    /// Returns the next connection, or `None` if the queue is empty. Waits while the resources of this
+    /// machine are exhausted. Cancel safe: no connection is lost if the future is dropped.
     pub async fn next(&mut self) -> Option<Accepted> {
         loop {
             self.backoff.wait().await;
@@ -96,7 +97,7 @@
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return None,
                 Err(error) => record_failure(&mut self.backoff, &error),
             }
-            tokio::task::yield_now().await; // a run of failures does not keep the other tasks waiting
+            tokio::task::yield_now().await; // so that a series of failures does not starve the other tasks
         }
     }
 
@@ -107,7 +108,8 @@
     }
 }
 
-/// Takes in a failed accept: either one connection was lost, or the next attempt has to wait for resources.
+/// Records a failed accept: either a single connection was lost, or the resources of this machine are
+/// exhausted and the next call has to back off.
 fn record_failure(backoff: &mut Backoff, error: &io::Error) {
     if !is_exhausted(error) {
         tracing::debug!(%error, "accept failed");
--- a/src/bin/load-balancer-proxy/server/mod.rs
+++ b/src/bin/load-balancer-proxy/server/mod.rs
@@ -1,19 +1,19 @@
-//! The client side of the proxy: accepts client connections, checks requests, hands them to the dispatcher
-//! and writes the final answers.
+//! The client side of the proxy: accepts client connections, validates requests, sends them to the dispatcher
+//! and writes the responses.
 //!
 //! | concern | module |
 //! | --- | --- |
 //! | accepting, and limits on open connections | `listener`, `capacity` |
 //! | one connection | `connection_task`, `client_connection`, `client_socket` |
-//! | one request | `request_handler`, `request_parsing`, `request_error`, `abandonment_guard`, `responses` |
+//! | one request | `request_handler`, `request_parsing`, `request_error`, `disconnect_guard`, `responses` |
 //! | readiness probe | `readiness` |
-//! | the end of the process | `graceful_shutdown` |
+//! | graceful shutdown | `graceful_shutdown` |
 
-mod abandonment_guard;
 mod capacity;
 mod client_connection;
 mod client_socket;
 mod connection_task;
+mod disconnect_guard;
 mod graceful_shutdown;
 mod listener;
 mod readiness;
@@ -38,29 +38,30 @@
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, Notify};
 
-/// What the client side shares with the rest of the program.
+/// State and channels that the client side shares with the rest of the program.
 pub struct ServerHandles {
     /// The clock of the process.
     pub clock: Clock,
-    /// Knows how long input may have waited before the event loop polled it.
+    /// Estimates how long input may have waited before the event loop polled it.
     pub stall_detector: StallDetector,
-    /// Where requests go.
+    /// Receives the requests.
     pub dispatcher: mpsc::UnboundedSender<DispatcherMessage>,
-    /// What the dispatcher reports for the readiness probe.
+    /// State of the dispatcher, for the readiness probe.
     pub status: Rc<ServingStatus>,
 }
 
-/// The server of client connections, shared by the tasks of all of them.
+/// The server, shared by the tasks of all client connections.
 pub struct Server {
     clock: Clock,
     stall_detector: StallDetector,
-    /// Replaced in one step with the message that notifies the dispatcher: no borrow outlives an await point.
+    /// Replaced together with sending the message that notifies the dispatcher; no borrow is held across an
+    /// await point.
     settings: RefCell<Arc<Settings>>,
-    /// Client connections that may be open.
+    /// Number of client connections that may be open at once.
     max_connections: usize,
     dispatcher: mpsc::UnboundedSender<DispatcherMessage>,
     status: Rc<ServingStatus>,
-    /// The id given out last, to a connection or a request.
+    /// Id that was assigned last, to a connection or a request.
     last_id: Cell<u64>,
     is_shutting_down: Cell<bool>,
     connections: RefCell<BTreeMap<u64, Rc<ClientConnection>>>,
@@ -68,7 +69,7 @@
 }
 
 impl Server {
-    /// A server without connections; `max_connections` is how many it keeps open at a time.
+    /// Creates a server that keeps at most `max_connections` client connections open at once.
     pub fn new(handles: ServerHandles, settings: Arc<Settings>, max_connections: usize) -> Server {
         let ServerHandles { clock, stall_detector, dispatcher, status } = handles;
         Server {
@@ -85,38 +86,40 @@
         }
     }
 
-    /// Serves until `shutdown_signal` is ready; returns when every request received has its answer.
+    /// Serves until `shutdown_signal` completes; returns once the pending requests are answered.
     pub async fn run(self: Rc<Self>, listener: TcpListener, shutdown_signal: impl Future<Output = ()>) {
         let mut acceptor = Acceptor::new(listener);
         let deadline = self.accept_until_listener_closes(&mut acceptor, shutdown_signal).await;
-        self.finish(acceptor, deadline).await;
+        self.finish_shutdown(acceptor, deadline).await;
     }
 
-    /// The settings in force.
+    /// Returns the current settings.
     pub fn settings(&self) -> Arc<Settings> {
         self.settings.borrow().clone()
     }
 
-    /// Puts other settings in force for the requests from now on; returns those that they replace.
+    /// Replaces the settings for the requests from now on; returns the old ones.
     pub fn replace_settings(&self, settings: Arc<Settings>) -> Arc<Settings> {
         self.settings.replace(settings)
     }
 
-    /// Sends a message to the dispatcher; one that has ended receives no more, and its end was logged.
+    /// Sends a message to the dispatcher. A message to a dispatcher that has ended is dropped, because its
+    /// end was logged and the readiness probe reports it.
     pub fn notify_dispatcher(&self, message: DispatcherMessage) {
         let _ = self.dispatcher.send(message);
     }
 
-    /// Accepts connections until some time after the shutdown signal; returns the deadline of all answers.
+    /// Accepts connections until the accept period after the shutdown signal is over; returns the time by
+    /// which every request is answered.
     async fn accept_until_listener_closes(
         self: &Rc<Self>, acceptor: &mut Acceptor, shutdown_signal: impl Future<Output = ()>,
     ) -> Time {
         tokio::pin!(shutdown_signal);
-        let end_of_accepting = tokio::time::sleep(Duration::MAX);
-        tokio::pin!(end_of_accepting);
+        let accept_deadline = tokio::time::sleep(Duration::MAX);
+        tokio::pin!(accept_deadline);
         let mut deadline = Time::NEVER;
         loop {
-            let next_capacity_check = self.make_capacity();
+            let next_capacity_check = self.reclaim_capacity();
             let at_capacity = self.is_at_capacity();
             if at_capacity {
                 acceptor.pause();
@@ -125,9 +128,9 @@
                 biased;
                 () = &mut shutdown_signal, if !self.is_shutting_down.get() => {
                     deadline = self.begin_shutdown();
-                    end_of_accepting.as_mut().reset(graceful_shutdown::end_of_accepting());
+                    accept_deadline.as_mut().reset(graceful_shutdown::accept_deadline());
                 }
-                () = &mut end_of_accepting, if self.is_shutting_down.get() => return deadline,
+                () = &mut accept_deadline, if self.is_shutting_down.get() => return deadline,
                 () = self.connection_closed.notified() => {}
                 () = tokio::time::sleep_until(self.clock.instant(next_capacity_check)) => {}
                 accepted = acceptor.accept(), if !at_capacity => self.clone().spawn_connection(accepted),
--- a/src/bin/load-balancer-proxy/server/request_error.rs
+++ b/src/bin/load-balancer-proxy/server/request_error.rs
@@ -1,53 +1,53 @@
-//! Why a request is answered with an error before the dispatcher sees it.
+//! Errors of requests that are answered without involving the dispatcher.
 
 use super::responses::{plain, ServerResponse};
 use hyper::StatusCode;
 use thiserror::Error;
 
-/// An invalid request; the text is the body of the response.
+/// Why a request is invalid; the message is the body of the response.
 #[derive(Clone, Copy, Debug, Error, PartialEq)]
 pub(super) enum RequestError {
-    /// It names no class.
+    /// The class header is missing or not plain text.
     #[error("expected X-Service-Class")]
     MissingClass,
-    /// It names a class that the settings do not have.
+    /// The settings do not define the class.
     #[error("X-Service-Class: unknown class")]
     UnknownClass,
-    /// Its path belongs to another class.
+    /// The first segment of the path is not the class.
     #[error("expected the class as the first part of the path")]
-    PathOfOtherClass,
-    /// Its method, body or idempotency key contradicts the class.
+    PathClassMismatch,
+    /// The method, body or idempotency key is not allowed for the class.
     #[error("the method, the body or Idempotency-Key does not fit the class")]
-    UnfitForClass,
-    /// It has no correlation id.
+    NotAllowedForClass,
+    /// The correlation id is missing.
     #[error("expected X-Correlation-Id")]
     MissingCorrelationId,
-    /// It names no tenant where the settings have tenants.
+    /// The tenant header is missing or not plain text, and the settings define tenants.
     #[error("expected X-Account")]
     MissingTenant,
-    /// It names a tenant that the settings do not have.
+    /// The settings do not define the tenant.
     #[error("X-Account: unknown tenant")]
     UnknownTenant,
-    /// It does not say how much time is left.
+    /// The remaining time is missing.
     #[error("expected X-Time-Left-Ms")]
     MissingTimeLeft,
-    /// A header that has to hold a number holds something else.
+    /// A numeric header is not a whole number.
     #[error("expected a whole number in X-Time-Left-Ms and X-Weight-Hint")]
     InvalidNumber,
-    /// Its body is longer than [`MAX_BODY_BYTES`](crate::headers::MAX_BODY_BYTES).
+    /// The body is longer than [`MAX_BODY_BYTES`](crate::headers::MAX_BODY_BYTES).
     #[error("the body is over 64 KiB")]
     BodyTooLarge,
-    /// Its body is malformed or was cut off.
+    /// The body is malformed or truncated.
     #[error("the body is broken")]
     InvalidBody,
-    /// Its body was not complete in time, or before the connection had to close at capacity or at the
-    /// shutdown.
+    /// The body was not complete before its deadline, or before the connection was closed at capacity or
+    /// during shutdown.
     #[error("the body did not come in time")]
     BodyIncomplete,
 }
 
 impl RequestError {
-    /// The response to the client.
+    /// Returns the response to the client.
     pub fn response(self) -> ServerResponse {
         let status = match self {
             RequestError::BodyTooLarge => StatusCode::PAYLOAD_TOO_LARGE,
--- a/src/bin/load-balancer-proxy/server/request_handler.rs
+++ b/src/bin/load-balancer-proxy/server/request_handler.rs
@@ -1,7 +1,8 @@
-//! One request from its head to its response: readiness probe, parsing, body, dispatcher, final answer.
+//! Handles one request: answers readiness probes, parses the head, reads the body, sends the request to the
+//! dispatcher and returns the response.
 
-use super::abandonment_guard::{AbandonmentGuard, RequestOutcome};
 use super::client_connection::ClientConnection;
+use super::disconnect_guard::{DisconnectGuard, RequestOutcome};
 use super::readiness::is_readiness_probe;
 use super::request_error::RequestError;
 use super::request_parsing::ParsedRequest;
@@ -21,10 +22,11 @@
 use std::rc::Rc;
 use tokio::sync::oneshot;
 
-/// A valid request that was read whole.
+/// A valid request that was read completely.
 struct CompleteRequest {
     received_at: Time,
-    /// How long it may have waited before it was read, in the system's queues or during a stall.
+    /// How long the request may have waited before it was read, in the operating system's queues or during a
+    /// stall.
     time_before_read: Micros,
     parsed: ParsedRequest,
     head: Parts,
@@ -32,7 +34,7 @@
 }
 
 impl Server {
-    /// Answers one request of a client's connection.
+    /// Answers one request on a client connection.
     pub(super) async fn handle_request(
         &self, request: Request<Incoming>, client: &ClientConnection,
     ) -> Result<ServerResponse, Infallible> {
@@ -55,7 +57,7 @@
         }
     }
 
-    /// Parses a request and reads its body.
+    /// Parses the head of a request and reads its body.
     async fn read_request(
         &self, request: Request<Incoming>, client: &ClientConnection,
     ) -> Result<CompleteRequest, RequestError> {
@@ -68,7 +70,8 @@
         }
         let deadline = client.request_read_deadline().min(received_at + parsed.time_left);
         let body = self.read_body(body, client, deadline).await?;
-        // After a reload during the body: a request belongs to the settings in force at its last byte.
+        // If the settings were reloaded while the body was read, the request is parsed again: the settings
+        // that are current at its last byte apply.
         if parsed.settings_version != self.settings.borrow().version {
             parsed = ParsedRequest::parse(&self.settings.borrow(), &head, Some(body.len() as u64))?;
         }
@@ -93,12 +96,12 @@
         }
     }
 
-    /// Sends a request to the dispatcher and waits for its final answer.
+    /// Sends a request to the dispatcher and waits for the final answer.
     async fn forward(&self, request: CompleteRequest, client: &ClientConnection) -> ServerResponse {
         let CompleteRequest { received_at, time_before_read, parsed, head, body } = request;
         let upstream_request = Rc::new(UpstreamRequest::new(upstream_head(head), body, time_before_read));
         let id = RequestId(self.next_id());
-        let guard = AbandonmentGuard::new(self, id, upstream_request.clone(), received_at);
+        let guard = DisconnectGuard::new(self, id, upstream_request.clone(), received_at);
         tracing::debug!(
             request = id.0,
             correlation_id = %upstream_request.correlation_id(),
@@ -119,12 +122,13 @@
         client.set_awaiting_answer(true);
         let answer = answer.await;
         client.set_awaiting_answer(false);
-        // Without a dispatcher, which may have panicked, every request fails.
+        // The sender is dropped if the dispatcher has ended, for example by a panic; every request fails
+        // then.
         complete(guard, answer.unwrap_or(FinalAnswer::Failed))
     }
 }
 
-/// The head that goes to a backend.
+/// Returns the head that is sent to backends.
 fn upstream_head(mut head: Parts) -> Request<()> {
     remove_hop_by_hop(&mut head.headers);
     let mut upstream_head = Request::new(());
@@ -134,8 +138,8 @@
     upstream_head
 }
 
-/// Records the final answer and turns it into the response.
-fn complete(guard: AbandonmentGuard, answer: FinalAnswer) -> ServerResponse {
+/// Logs the outcome and converts the final answer to a response.
+fn complete(guard: DisconnectGuard, answer: FinalAnswer) -> ServerResponse {
     match answer {
         FinalAnswer::Served(response) => {
             guard.complete(RequestOutcome::Served);
--- a/src/bin/load-balancer-proxy/server/request_parsing.rs
+++ b/src/bin/load-balancer-proxy/server/request_parsing.rs
@@ -1,4 +1,4 @@
-//! The head of a request, checked against the settings in force.
+//! Parses the head of a request and validates it against the current settings.
 
 use super::request_error::RequestError;
 use crate::config::Settings;
@@ -10,36 +10,37 @@
 use hyper::Method;
 use load_balancer::{ClassId, Idempotency, Micros, TenantId};
 
-/// Ticks between the proxy's deadline and the client's, for the way there and back.
+/// Time between the proxy's deadline and the client's, in ticks of the balancer; an allowance for the
+/// transmission of request and response.
 const MARGIN_TICKS: u64 = 2;
 const MICROS_PER_MILLISECOND: u64 = 1000;
 
-/// What the balancer needs to know of a request.
+/// The parts of a request's head that the balancer needs.
 pub(super) struct ParsedRequest {
-    /// Version of the settings under which it was parsed.
+    /// Version of the settings used for parsing.
     pub settings_version: u64,
-    /// Its class.
+    /// Class of the request.
     pub class: ClassId,
-    /// Who it is served for, where the settings have tenants.
+    /// Tenant of the request; `None` if the settings define no tenants.
     pub tenant: Option<TenantId>,
-    /// Time until the client gives up.
+    /// Time until the client gives up on the request.
     pub time_left: Micros,
-    /// The answer is due this long before that time is over.
+    /// The answer is due this long before the client gives up.
     pub margin: Micros,
-    /// Work that the client expects, on a standard core.
+    /// Processing time that the client expects, on a standard core; `None` if it sent no hint.
     pub expected_work: Option<Micros>,
-    /// The client says that it sent the request before.
+    /// Whether the client marked the request as a retry.
     pub is_client_retry: bool,
 }
 
 impl ParsedRequest {
-    /// Parses the head of a request with a body of `body_length` bytes, where that is known.
+    /// Parses the head of a request whose body has `body_length` bytes; `None` if the length is unknown.
     pub fn parse(
         settings: &Settings, head: &Parts, body_length: Option<u64>,
     ) -> Result<ParsedRequest, RequestError> {
         let headers = &head.headers;
         let class = parse_class(settings, head)?;
-        check_form(settings.balancer.classes[class.0].idempotency, head, body_length)?;
+        check_idempotency(settings.balancer.classes[class.0].idempotency, head, body_length)?;
         if !headers.contains_key(&CORRELATION_ID) {
             return Err(RequestError::MissingCorrelationId);
         }
@@ -62,21 +63,23 @@
     let class = settings.names.class(name).ok_or(RequestError::UnknownClass)?;
     match head.uri.path().split('/').nth(1) == Some(name) {
         true => Ok(class),
-        false => Err(RequestError::PathOfOtherClass),
+        false => Err(RequestError::PathClassMismatch),
     }
 }
 
-/// Method, body and idempotency key have to be those of the class.
-fn check_form(idempotency: Idempotency, head: &Parts, body_length: Option<u64>) -> Result<(), RequestError> {
+/// Checks that the method, the body and the idempotency key are allowed for the class.
+fn check_idempotency(
+    idempotency: Idempotency, head: &Parts, body_length: Option<u64>,
+) -> Result<(), RequestError> {
     let is_keyed = head.headers.contains_key(&IDEMPOTENCY_KEY);
-    let is_fit = match idempotency {
+    let is_allowed = match idempotency {
         Idempotency::Idempotent => head.method == Method::GET && body_length == Some(0),
         Idempotency::Keyed { .. } => head.method == Method::POST && is_keyed,
         Idempotency::NonIdempotent => head.method == Method::POST && !is_keyed,
     };
-    match is_fit {
+    match is_allowed {
         true => Ok(()),
-        false => Err(RequestError::UnfitForClass),
+        false => Err(RequestError::NotAllowedForClass),
     }
 }
 
@@ -92,7 +95,7 @@
     headers.get(name).and_then(|value| value.to_str().ok())
 }
 
-/// The whole number in a header, without a sign; `None` if the header is absent.
+/// Parses a header as a whole number without a sign; `None` if the header is absent.
 fn parse_number(headers: &HeaderMap, name: &HeaderName) -> Result<Option<u64>, RequestError> {
     let Some(value) = headers.get(name) else { return Ok(None) };
     let text = value.to_str().map_err(|_| RequestError::InvalidNumber)?;
--- a/src/bin/load-balancer-proxy/stall_detector.rs
+++ b/src/bin/load-balancer-proxy/stall_detector.rs
@@ -1,29 +1,31 @@
-//! Detects stalls of the process, and tells how long input may have waited before the event loop polled it:
-//! clients' deadlines run on while the machine does not run the process.
+//! Detects stalls of the process and estimates how long input may have waited before the event loop polled
+//! it.
+//!
+//! Clients' deadlines keep running while the operating system does not schedule the process.
 
 use crate::clock::Clock;
 use load_balancer::{Micros, Time};
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-/// The event loop polls at least this often.
+/// Longest time between two polls of the event loop unless the process is stalled.
 const MAX_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// From this time between two polls on the process was stalled.
+/// Minimum time between two polls that counts as a stall.
 const MIN_STALL: Micros = Micros(40_000);
-/// Input that arrived during a stall is read this long after it at the latest.
+/// Time after a stall within which input that arrived during it is read.
 const CATCH_UP_TIME: Micros = Micros(20_000);
-/// The longest stall of 0.15 s, and the poll interval before it.
+/// Upper bound of the reported time: the longest expected stall, 0.15 s, plus one poll interval.
 const MAX_UNOBSERVED: Micros = Micros(170_000);
 
-/// A time in which the process did not run.
+/// A period in which the process did not run.
 struct Stall {
-    /// The last poll before it.
+    /// Last poll before the stall.
     start: Time,
-    /// The first poll after it.
+    /// First poll after the stall.
     end: Time,
 }
 
-/// When the event loop asked the system for events.
+/// Times at which the event loop polled the operating system for events.
 struct Polls {
     last: Time,
     second_last: Time,
@@ -39,7 +41,7 @@
         self.last = now;
     }
 
-    /// Since when input that is read now may have waited.
+    /// Returns the earliest time at which input that is read at `now` may have arrived.
     fn unobserved_since(&self, now: Time) -> Time {
         match &self.last_stall {
             Some(stall) if now - stall.end < CATCH_UP_TIME => stall.start.min(self.second_last),
@@ -48,38 +50,40 @@
     }
 }
 
-/// Watches the event loop of the process.
+/// Detects stalls from the times of the event loop's polls.
 #[derive(Clone)]
 pub struct StallDetector {
     clock: Clock,
-    /// Shared with the hook of the runtime, which has to be `Send`.
+    /// Shared with the runtime's unpark hook, which has to be `Send`.
     polls: Arc<Mutex<Polls>>,
 }
 
 impl StallDetector {
-    /// Takes the event loop as polled now.
+    /// Creates a detector that counts the current time as the first poll.
     pub fn new(clock: Clock) -> StallDetector {
         let now = clock.now();
         let polls = Polls { last: now, second_last: now, last_stall: None };
         StallDetector { clock, polls: Arc::new(Mutex::new(polls)) }
     }
 
-    /// Records that the event loop has just polled the system: to be called each time.
+    /// Records a poll of the event loop; to be called after every poll.
     pub fn record_poll(&self) {
         let now = self.clock.now();
         self.polls.lock().unwrap_or_else(PoisonError::into_inner).record(now);
     }
 
-    /// Wakes the event loop for ever, so that it polls at least every [`MAX_POLL_INTERVAL`].
+    /// Wakes the event loop every [`MAX_POLL_INTERVAL`]; never returns.
     pub async fn keep_polling(self) {
         loop {
             tokio::time::sleep(MAX_POLL_INTERVAL).await;
         }
     }
 
-    /// How long input that is read now may have waited unobserved: since the poll before the one that brought
-    /// it, or since the one before a stall that has just ended, which may end with a poll that brings
-    /// nothing.
+    /// Returns how long input that is read now may have waited before the event loop polled it.
+    ///
+    /// Input may have arrived at any time since the poll before the one that delivered it. Just after a stall
+    /// it may have arrived since the last poll before the stall, because the first poll after a stall may
+    /// deliver nothing.
     pub fn unobserved_time(&self) -> Micros {
         let now = self.clock.now();
         let polls = self.polls.lock().unwrap_or_else(PoisonError::into_inner);
--- a/src/bin/load-balancer-proxy/startup.rs
+++ b/src/bin/load-balancer-proxy/startup.rs
@@ -1,4 +1,4 @@
-//! Start-up: brings up the event loop, the listening socket and the tasks of the proxy, in order.
+//! Startup: creates the event loop, the listening socket and the tasks of the proxy, in this order.
 
 use crate::clock::Clock;
 use crate::config::ProxyConfig;
@@ -24,42 +24,42 @@
 use tokio::sync::{mpsc, watch, Notify};
 use tokio::task::LocalSet;
 
-/// Descriptors kept for the listener, discovery, signals, standard streams and the runtime.
+/// File descriptors reserved for the listener, discovery, signals, standard streams and the runtime.
 const RESERVED_DESCRIPTORS: usize = 32;
 
-/// Connections that the system keeps for the proxy until it accepts them.
+/// Maximum number of connections that the operating system queues until the proxy accepts them.
 const LISTEN_BACKLOG: u32 = 1024;
 
-/// Why the proxy did not start.
+/// Why the proxy could not start.
 #[derive(Debug, Error)]
 pub enum StartupError {
     /// The configuration is missing or invalid.
     #[error("{0}")]
     Config(String),
-    /// The balancer does not accept the settings.
+    /// The balancer rejected the settings.
     #[error("settings: {0}")]
     Settings(#[from] ConfigError),
-    /// The event loop was not created.
-    #[error("runtime: {0}")]
+    /// The event loop could not be created.
+    #[error("failed to create the event loop: {0}")]
     Runtime(#[source] io::Error),
-    /// A signal handler was not installed.
-    #[error("{name}: {source}")]
+    /// A signal handler could not be installed.
+    #[error("failed to install the {name} handler: {source}")]
     SignalHandler {
-        /// The signal.
+        /// Name of the signal.
         name: &'static str,
-        /// What the system said.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The address to listen on is in use or belongs to another machine.
+    /// The listening address is in use or not assigned to this machine.
     #[error("listen: expected a free address, got {address}: {source}")]
     Listen {
-        /// The address.
+        /// The configured address.
         address: SocketAddr,
-        /// What the system said.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The address listened on is unknown.
-    #[error("listen: {0}")]
+    /// The local address of the listening socket could not be determined.
+    #[error("listen: failed to read the local address: {0}")]
     LocalAddress(#[source] io::Error),
 }
 
@@ -82,14 +82,14 @@
     }
 }
 
-/// How many connections of each side may be open.
+/// Maximum numbers of open client and backend connections.
 struct ConnectionLimits {
     clients: usize,
     backends: usize,
 }
 
 impl ConnectionLimits {
-    /// Half of the descriptors that are not reserved for each side.
+    /// Splits the descriptors that are not reserved equally between clients and backends.
     fn of(descriptors: usize) -> ConnectionLimits {
         let available = descriptors - RESERVED_DESCRIPTORS;
         let clients = available / 2;
@@ -97,7 +97,7 @@
     }
 }
 
-/// What the tasks of the proxy share with the dispatcher.
+/// State and channels that the tasks of the proxy share with the dispatcher.
 struct SharedHandles {
     clock: Clock,
     dispatcher: mpsc::UnboundedSender<DispatcherMessage>,
@@ -105,11 +105,11 @@
     status: Rc<ServingStatus>,
 }
 
-/// Runs the proxy until it has shut down.
+/// Runs the proxy until its graceful shutdown is complete.
 ///
 /// # Errors
 ///
-/// [`StartupError`] if it could not start; nothing fails after that.
+/// Returns a [`StartupError`] if the proxy could not start; there are no errors after startup.
 pub fn run(config: ProxyConfig) -> Result<(), StartupError> {
     let clock = Clock::new();
     let stall_detector = StallDetector::new(clock);
@@ -140,7 +140,7 @@
     let server = Rc::new(server);
     let (discovery_address, watched_address) = watch::channel(config.discovery);
     let watch_settings = Rc::new(Cell::new(reload::watch_settings(settings)));
-    let mut cached = place_cached_list(&mut config, clock);
+    let mut cached = take_cached_list(&mut config, clock);
     let discovery = build_watch(&config, &mut cached, watched_address, watch_settings.clone(), &shared);
     send_cached_list(&shared, cached.endpoints);
     let restart_only = RestartOnlySettings::of(&config);
@@ -152,7 +152,8 @@
     Ok(())
 }
 
-/// Listens, and logs the address: with port 0 this event alone says which port it is.
+/// Opens the listening socket and logs its address: with port 0, only this event tells which port was
+/// assigned.
 fn open_listener(address: SocketAddr) -> Result<TcpListener, StartupError> {
     let listener =
         retry_blocking(|| listen(address)).map_err(|source| StartupError::Listen { address, source })?;
@@ -177,14 +178,14 @@
     }
 }
 
-/// The endpoint list of before the start, with the starts of its backends on the clock of this process.
+/// The cached endpoint list, with the start times of its backends converted to the clock of this process.
 struct CachedList {
     version: Option<u64>,
     endpoints: Vec<Endpoint>,
     start_times: StartTimes,
 }
 
-fn place_cached_list(config: &mut ProxyConfig, clock: Clock) -> CachedList {
+fn take_cached_list(config: &mut ProxyConfig, clock: Clock) -> CachedList {
     let list = config.cached_list.take();
     let version = list.as_ref().map(|list| list.version);
     let mut endpoints = list.map(|list| list.endpoints).unwrap_or_default();
@@ -193,7 +194,7 @@
     CachedList { version, endpoints, start_times }
 }
 
-/// The watch on discovery, which goes on from the cached list.
+/// Builds the watch on discovery, which continues from the version of the cached list.
 fn build_watch(
     config: &ProxyConfig, cached: &mut CachedList, address: watch::Receiver<SocketAddr>,
     settings: Rc<Cell<WatchSettings>>, shared: &SharedHandles,
@@ -214,14 +215,15 @@
     }
 }
 
-/// Sends the cached list to the dispatcher, an empty one too: the balancer subscribes only once it has
+/// Sends the cached list to the dispatcher, even if it is empty: the balancer subscribes only after it has
 /// handled an event.
 fn send_cached_list(shared: &SharedHandles, endpoints: Vec<Endpoint>) {
     let update = EndpointListUpdate::Cached;
     let _ = shared.dispatcher.send(DispatcherMessage::EndpointList { update, endpoints });
 }
 
-/// Starts the dispatcher. If it ends, the proxy reports that it is not ready: it would fail every request.
+/// Starts the dispatcher. If it ends, the proxy reports that it is not ready, because every request would
+/// fail.
 fn start_dispatcher(
     config: ProxyConfig, pool: ConnectionPool, shared: SharedHandles,
     messages: mpsc::UnboundedReceiver<DispatcherMessage>,
@@ -244,7 +246,7 @@
     Ok(())
 }
 
-/// Ready at SIGTERM or SIGINT.
+/// Completes when SIGTERM or SIGINT is received.
 async fn shutdown_signal(mut terminate: Signal, mut interrupt: Signal) {
     tokio::select! {
         _ = terminate.recv() => {}
