--- a/tests/proxy/capacity.rs
+++ b/tests/proxy/capacity.rs
@@ -1,4 +1,4 @@
-//! Every connection slot or descriptor is taken.
+//! Behaviour when all connection slots or file descriptors are in use.
 
 use crate::support::{
     config, endpoint, ok_response, ready_endpoints, request, send_request, wait_until, Backend, Client,
@@ -7,7 +7,7 @@
 use serde_json::json;
 use std::time::{Duration, Instant};
 
-/// Guards against idle clients that keep every new one out.
+/// Guards against idle clients that prevent new clients from connecting.
 #[test]
 fn at_capacity_a_new_client_is_still_accepted() {
     let backend = Backend::start(|_| ok_response("x"));
@@ -15,21 +15,21 @@
     let mut config = config(discovery.address, &[endpoint("a", backend.address, "ready", 0)]);
     config["limits"]["sockets"] = json!(64);
     let proxy = ProxyProcess::start(&config);
-    // Some never send a request; they are not in the way of closing those that have.
-    let _silent: Vec<Client> = (0..4).map(|_| Client::open(proxy.address)).collect();
-    let mut idle: Vec<Client> = Vec::new();
+    // Clients that never send a request must not prevent the proxy from closing idle ones.
+    let _silent_clients: Vec<Client> = (0..4).map(|_| Client::open(proxy.address)).collect();
+    let mut idle_clients: Vec<Client> = Vec::new();
     for _ in 0..60 {
         let mut client = Client::open(proxy.address);
         client.send(&request("read", 7000));
         assert_eq!(client.read_response().map(|response| response.status()), Some(200));
-        idle.push(client);
+        idle_clients.push(client);
     }
     assert_eq!(send_request(&proxy, &request("read", 7000)).status(), 200);
 }
 
-/// Guards against requests that wait for a slot while idle connections to other backends take them all.
+/// Guards against requests that wait for a socket while idle connections to other backends use all of them.
 #[test]
-fn with_all_sockets_held_by_idle_connections_requests_that_arrive_at_once_are_served() {
+fn concurrent_requests_are_served_while_idle_connections_use_all_sockets() {
     let backends: Vec<Backend> = (0..30).map(|_| Backend::start(|_| ok_response("x"))).collect();
     let endpoints = ready_endpoints(backends.iter());
     let discovery = Discovery::start();
@@ -48,14 +48,14 @@
         for client in &mut clients {
             assert_eq!(client.read_response().map(|response| response.status()), Some(200));
         }
-        // The connect timeout is two seconds here.
+        // Below the connect timeout of two seconds.
         assert!(began.elapsed() < Duration::from_secs(1), "{:?} in round {round}", began.elapsed());
     }
 }
 
-/// Guards against peers without a whole request that hold their slots until they close by themselves.
+/// Guards against peers with incomplete requests that occupy their slots until they disconnect.
 #[test]
-fn silent_and_stalling_peers_are_closed_and_keep_nobody_out() {
+fn stalled_peers_are_closed_and_do_not_block_new_clients() {
     let backend = Backend::start(|_| ok_response("x"));
     let discovery = Discovery::start();
     let mut config = config(discovery.address, &[endpoint("a", backend.address, "ready", 0)]);
@@ -63,27 +63,27 @@
     let proxy = ProxyProcess::start(&config);
     let pay = request("pay", 3_600_000);
     let began = Instant::now();
-    let beginnings = ["", "GET /read", &pay[..pay.len() - 2]];
-    let open = |beginning: &&str| {
+    let partial_requests = ["", "GET /read", &pay[..pay.len() - 2]];
+    let open = |partial_request: &&str| {
         let mut peer = Client::open(proxy.address);
-        peer.send(beginning);
+        peer.send(partial_request);
         peer
     };
-    // More of them than there are slots.
-    let mut peers: Vec<Client> = beginnings.iter().cycle().take(60).map(open).collect();
+    // More peers than connection slots.
+    let mut peers: Vec<Client> = partial_requests.iter().cycle().take(60).map(open).collect();
     assert_eq!(send_request(&proxy, &request("read", 7000)).status(), 200);
     for peer in &mut peers {
         let answer = peer.read_response();
         assert!(answer.as_ref().is_none_or(|response| response.status() == 408), "{answer:?}");
     }
-    // In turns of three seconds.
+    // The slots are freed in rounds of at most three seconds.
     assert!(began.elapsed() < Duration::from_secs(25), "{:?}", began.elapsed());
     assert_eq!(backend.requests().len(), 1);
 }
 
-/// Guards against a proxy that ends, or stops accepting, once it has run out of descriptors.
+/// Guards against a proxy that exits, or stops accepting, after running out of file descriptors.
 #[test]
-fn the_proxy_outlives_exhausted_descriptors() {
+fn the_proxy_survives_exhausted_descriptors() {
     let backend = Backend::start(|_| ok_response("x"));
     let discovery = Discovery::start();
     let config = config(discovery.address, &[endpoint("a", backend.address, "ready", 0)]);
--- a/tests/proxy/client_disconnects.rs
+++ b/tests/proxy/client_disconnects.rs
@@ -1,5 +1,5 @@
-//! Clients that disconnect, alone or many at once: no attempt of theirs begins afterwards, retries and the
-//! end of the process included, and it shows at once, not when their time is up.
+//! Clients that disconnect, one or many at once: the proxy detects it promptly and sends no further attempts
+//! of their requests, including retries and during shutdown.
 
 use crate::support::{
     config, config_with_long_connect_timeout, endpoint, ok_response, proxy_for, request, send_request,
@@ -8,21 +8,22 @@
 use serde_json::json;
 use std::time::{Duration, Instant};
 
-/// Guards against an attempt that goes on after its client has disconnected.
+/// Guards against an attempt that continues after its client has disconnected.
 #[test]
-fn a_client_that_disconnects_ends_its_attempt() {
+fn the_attempt_of_a_disconnected_client_is_cancelled() {
     let backend = Backend::start(|_| Reply::NoResponse);
     let (proxy, _discovery) = proxy_for(&[("a", &backend)]);
     let mut client = Client::open(proxy.address);
     client.send(&request("pay", 60_000));
     wait_until("the attempt", || backend.requests().len() == 1);
     drop(client);
-    wait_until("its connection closed", || backend.closed_connections() == 1);
+    wait_until("the connection of the attempt to close", || backend.closed_connections() == 1);
 }
 
-/// Guards against unread bytes that hide the end of a connection: its request would stay queued and be sent.
+/// Guards against unread bytes that hide the end of a client's stream, so that its queued request is still
+/// sent.
 #[test]
-fn a_disconnected_client_is_noticed_whatever_it_sent_before() {
+fn a_disconnect_is_detected_despite_unread_bytes() {
     let (read, pay) = (request("read", 60_000), request("pay", 60_000));
     let extra_bytes = [String::new(), "GET /re".into(), read, "x".repeat(8 << 10), "x".repeat(1 << 20)];
     for extra in &extra_bytes {
@@ -40,23 +41,24 @@
         let client = open_with_extra();
         wait_until("the attempt", || backend.requests().len() == 1);
         drop(client);
-        wait_until("its connection closed", || backend.closed_connections() == 1);
+        wait_until("the connection of the attempt to close", || backend.closed_connections() == 1);
         discovery.publish_delta(&[endpoint("a", backend.address, "draining", 0)]);
         let clients: Vec<Client> = (0..20).map(|_| open_with_extra()).collect();
-        wait_until("all are queued", || proxy.count_in_log("request received ") == 21);
+        wait_until("all requests to be queued", || proxy.count_in_log("request received ") == 21);
         drop(clients);
-        wait_until("all have disconnected", || {
+        wait_until("all clients to be logged as disconnected", || {
             proxy.count_in_log("request ended outcome=client_disconnected ") == 21
         });
         discovery.publish_delta(&[endpoint("a", backend.address, "ready", 0)]);
         assert_eq!(send_request(&proxy, &request("read", 7000)).status(), 200);
-        assert_eq!(backend.requests().len(), 2, "after {} bytes more", extra.len());
+        assert_eq!(backend.requests().len(), 2, "with {} extra bytes", extra.len());
     }
 }
 
-/// Guards against an attempt that is written to a late connection after its client has disconnected.
+/// Guards against an attempt that is written after its client disconnected while the connection was being
+/// established.
 #[test]
-fn an_attempt_not_yet_begun_is_not_written_once_its_client_has_disconnected() {
+fn an_attempt_still_connecting_is_not_written_after_a_disconnect() {
     for can_cancel in [true, false] {
         let (slow_backend, discovery) = (SlowAcceptBackend::start(), Discovery::start());
         let config =
@@ -70,19 +72,20 @@
         }
         wait_until("the attempts", || proxy.count_in_log("attempt dispatched attempt=0 ") == 3);
         drop(clients);
-        wait_until("all have disconnected", || {
+        wait_until("all clients to be logged as disconnected", || {
             proxy.count_in_log("request ended outcome=client_disconnected ") == 3
         });
         let bytes = slow_backend.accept();
-        wait_until("the end of all", || proxy.count_in_log("attempt ended attempt=0 ") == 3);
+        wait_until("all attempts to end", || proxy.count_in_log("attempt ended attempt=0 ") == 3);
         assert_eq!(bytes(), 0, "cancel: {can_cancel}");
     }
 }
 
-/// Clients that disconnect at one moment.
+/// Number of clients that disconnect at the same time.
 const CLIENTS: usize = 100;
 
-/// Opens all clients, each with one request, and waits until this event of each is logged.
+/// Opens the clients, sends one request on each, and waits until the event `logged` has occurred for all of
+/// them.
 fn open_clients(proxy: &ProxyProcess, class: &str, logged: &str) -> Vec<Client> {
     let before = proxy.count_in_log(logged);
     let open = |_| {
@@ -91,22 +94,23 @@
         client
     };
     let clients = (0..CLIENTS).map(open).collect();
-    wait_until("all wait", || proxy.count_in_log(logged) >= before + CLIENTS);
+    wait_until("the requests of all clients", || proxy.count_in_log(logged) >= before + CLIENTS);
     clients
 }
 
-/// All disconnect at one moment; the proxy notices soon. The rule's 0.1 s is too narrow on a loaded machine.
+/// Disconnects all clients at once and checks that the proxy detects it in time. The platform requires 0.1 s;
+/// the limit here allows for a loaded machine.
 fn disconnect(proxy: &ProxyProcess, clients: Vec<Client>) {
     let before = proxy.count_in_log("request ended outcome=client_disconnected ");
     let began = Instant::now();
     drop(clients);
-    wait_until("all have disconnected", || {
+    wait_until("all clients to be logged as disconnected", || {
         proxy.count_in_log("request ended outcome=client_disconnected ") >= before + CLIENTS
     });
     assert!(began.elapsed() < Duration::from_secs(2), "{:?}", began.elapsed());
 }
 
-/// Guards against queued requests that are sent though their clients have disconnected.
+/// Guards against queued requests that are sent although their clients have disconnected.
 #[test]
 fn queued_requests_of_disconnected_clients_are_never_sent() {
     for is_shutting_down in [false, true] {
@@ -114,10 +118,10 @@
         let config = config(discovery.address, &[endpoint("a", backend.address, "draining", 0)]);
         let proxy = ProxyProcess::spawn(&config);
         let clients = open_clients(&proxy, "read", "request received ");
-        // One stays: its request is sent once there is a backend for it.
+        // One client stays connected: its request is sent once a backend is ready.
         let mut staying_client = Client::open(proxy.address);
         staying_client.send(&request("read", 60_000));
-        wait_until("its request is queued", || proxy.count_in_log("request received ") == CLIENTS + 1);
+        wait_until("its request to be queued", || proxy.count_in_log("request received ") == CLIENTS + 1);
         if is_shutting_down {
             proxy.terminate();
         }
@@ -132,9 +136,10 @@
     }
 }
 
-/// Guards against retries that are written to late connections after their clients have disconnected.
+/// Guards against retries that are written after their clients disconnected while the connections were being
+/// established.
 #[test]
-fn retries_of_clients_that_disconnect_during_the_connect_are_never_written() {
+fn retries_still_connecting_are_not_written_after_a_disconnect() {
     for (is_shutting_down, can_cancel) in [(false, true), (false, false), (true, true), (true, false)] {
         let unprocessed =
             || Reply::Send("HTTP/1.1 503 x\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n".into());
@@ -152,7 +157,7 @@
         );
         let mut proxy =
             ProxyProcess::start(&with_value(&config, "/settings/limits/cancel", json!(can_cancel)));
-        // The retry budget is a fifth of the requests: enough of them come first.
+        // The retry budget is a fifth of the requests, so enough requests are sent first.
         for _ in 0..2 * CLIENTS {
             assert_eq!(send_request(&proxy, &request("read", 7000)).status(), 200);
         }
@@ -165,13 +170,13 @@
         }
         let slow_address = format!("address={}", slow_backend.address);
         let is_dispatch = |line: &&str| line.contains("attempt dispatched ") && line.contains(&slow_address);
-        wait_until("all have come", || proxy.count_in_log("request received ") == 3 * CLIENTS);
-        wait_until("many connect", || proxy.log().lines().filter(is_dispatch).count() >= 2);
+        wait_until("all requests to be received", || proxy.count_in_log("request received ") == 3 * CLIENTS);
+        wait_until("two slow attempts", || proxy.log().lines().filter(is_dispatch).count() >= 2);
         if is_shutting_down {
             proxy.terminate();
         }
         drop(clients);
-        wait_until("the end of all", || {
+        wait_until("all requests to end", || {
             proxy.count_in_log("request ended outcome=client_disconnected ") + answered_count(&proxy)
                 >= CLIENTS
         });
@@ -179,15 +184,15 @@
         if is_shutting_down {
             assert!(proxy.wait_for_exit().success());
         } else {
-            let is_ended =
+            let all_ended =
                 || proxy.count_in_log("attempt ended ") >= proxy.count_in_log("attempt dispatched ");
-            wait_until("the end of all attempts", is_ended);
+            wait_until("all attempts to end", all_ended);
         }
         assert_eq!(bytes(), 0, "shutting down: {is_shutting_down}, cancel: {can_cancel}");
     }
 }
 
-/// Requests that had their final answer before their clients disconnected.
+/// Number of requests that were answered before their clients disconnected.
 fn answered_count(proxy: &ProxyProcess) -> usize {
     proxy.count_in_log("request ended outcome=rejected ")
         + proxy.count_in_log("request ended outcome=failed ")
--- a/tests/proxy/configuration.rs
+++ b/tests/proxy/configuration.rs
@@ -1,4 +1,4 @@
-//! Configurations at the start: those that are served and those that are rejected.
+//! Valid and invalid configurations at startup.
 
 use crate::support::{
     config, endpoint, ok_response, refusing_address, request, send_request, wait_until, with_value, Backend,
@@ -7,14 +7,14 @@
 use serde_json::{json, Value};
 use std::net::TcpListener;
 
-/// Guards against settings that are valid, absent or at their limit, and keep the proxy from serving.
+/// Guards against valid settings, absent or at their limits, with which the proxy does not serve.
 #[test]
 fn settings_at_their_limits_start_and_serve() {
     let cases = [
         ("/settings/customers", json!(null)),
         ("/settings/over_share_worth", json!(null)),
         ("/settings/profiles/0/late_worth", json!(null)),
-        ("/settings/profiles/0/aim_us", json!(8_000_000)), // as long as the deadline
+        ("/settings/profiles/0/aim_us", json!(8_000_000)), // equal to the deadline
         ("/settings/profiles/1/window_us", json!(0)),
         ("/settings/profiles/1/window_us", json!(u64::MAX)),
         ("/settings/costs/cross_zone", json!(null)),
@@ -38,7 +38,7 @@
     }
 }
 
-/// A value that is rejected at one place of a configuration, and what its message contains.
+/// An invalid value at one place of a configuration, and a part of the expected error message.
 struct InvalidValue {
     pointer: &'static str,
     value: Value,
@@ -82,9 +82,9 @@
     ]
 }
 
-/// Guards against a configuration error that is logged without its key, or in many lines.
+/// Guards against a configuration error that is reported without its key or on several lines.
 #[test]
-fn a_bad_configuration_is_one_line_that_names_the_key() {
+fn a_configuration_error_is_one_line_that_names_the_key() {
     let valid = config(refusing_address(), &[]);
     let used_port = TcpListener::bind("127.0.0.1:0").unwrap();
     let used_address = json!(used_port.local_addr().unwrap().to_string());
@@ -93,7 +93,7 @@
     for InvalidValue { pointer, value, message } in cases {
         let mut proxy = ProxyProcess::launch(&with_value(&valid, pointer, value));
         assert!(!proxy.wait_for_exit().success());
-        wait_until("its message", || proxy.log().contains(message));
+        wait_until("the error message", || proxy.log().contains(message));
         assert_eq!(proxy.log().lines().count(), 1, "{}", proxy.log());
     }
 }
--- a/tests/proxy/discovery_lists.rs
+++ b/tests/proxy/discovery_lists.rs
@@ -1,4 +1,4 @@
-//! Endpoint lists: which come into force, and when discovery is called.
+//! Endpoint lists: which ones are applied, and when the proxy calls discovery.
 
 use crate::support::{
     config, endpoint, ok_response, proxy_for, refusing_address, request, send_request, wait_until, Backend,
@@ -7,17 +7,19 @@
 use serde_json::{json, Value};
 use std::time::{Duration, Instant};
 
-/// Guards against requests to a draining or removed backend, and connections to it that stay open.
+/// Guards against requests to a draining or removed backend, and against connections to it that stay open.
 #[test]
-fn a_draining_or_removed_backend_gets_nothing_new() {
+fn a_draining_or_removed_backend_receives_no_new_requests() {
     let (backend_a, backend_b) = (Backend::start(|_| ok_response("a")), Backend::start(|_| ok_response("b")));
     let (proxy, discovery) = proxy_for(&[("a", &backend_a), ("b", &backend_b)]);
-    wait_until("both served", || {
+    wait_until("both backends to serve a request", || {
         send_request(&proxy, &request("read", 7000));
         !backend_a.requests().is_empty() && !backend_b.requests().is_empty()
     });
     discovery.publish_delta(&[endpoint("a", backend_a.address, "draining", 0)]);
-    wait_until("the pool of a closed", || backend_a.closed_connections() == backend_a.opened_connections());
+    wait_until("the connections to a to close", || {
+        backend_a.closed_connections() == backend_a.opened_connections()
+    });
     let before = backend_a.requests().len();
     for _ in 0..20 {
         assert_eq!(send_request(&proxy, &request("read", 7000)).body, b"b");
@@ -26,13 +28,15 @@
         endpoint("a", backend_a.address, "ready", 0),
         endpoint("b", backend_b.address, "gone", 0),
     ]);
-    wait_until("the pool of b closed", || backend_b.closed_connections() == backend_b.opened_connections());
+    wait_until("the connections to b to close", || {
+        backend_b.closed_connections() == backend_b.opened_connections()
+    });
     for _ in 0..20 {
         assert_eq!(send_request(&proxy, &request("read", 7000)).body, b"a");
     }
     assert!(backend_a.requests().len() >= before + 20);
     discovery.publish_snapshot(&[endpoint("b", backend_b.address, "ready", 0)]);
-    wait_until("the pool of a closed again", || {
+    wait_until("the connections to a to close again", || {
         backend_a.closed_connections() == backend_a.opened_connections()
     });
     for _ in 0..20 {
@@ -40,12 +44,12 @@
     }
 }
 
-/// Guards against a malformed list that comes into force in part, replaces the list held or ends the watch.
+/// Guards against a malformed list that is partially applied, replaces the current list or ends the watch.
 #[test]
-fn a_list_that_is_cut_off_is_rejected_whole_and_the_old_one_stays() {
+fn a_malformed_list_is_rejected_as_a_whole() {
     for mode in ["automatic", "subscribe"] {
         let (backend, unlisted) =
-            (Backend::start(|_| ok_response("x")), Backend::start(|_| ok_response("stranger")));
+            (Backend::start(|_| ok_response("x")), Backend::start(|_| ok_response("unlisted")));
         let discovery = Discovery::start();
         let mut config = config(discovery.address, &[endpoint("a", backend.address, "ready", 0)]);
         config["settings"]["discovery"] = json!(mode);
@@ -81,14 +85,14 @@
             );
         }
         discovery.publish_snapshot(&[endpoint("a", backend.address, "draining", 0)]);
-        wait_until("the well-formed list after them", || proxy.readiness_status() == 503);
+        wait_until("the well-formed list to be applied", || proxy.readiness_status() == 503);
         assert_eq!(unlisted.opened_connections(), 0);
     }
 }
 
-/// Guards against lists that are lost because of their indentation, framing or header names.
+/// Guards against lists that are rejected because of their indentation, framing or spelling of header names.
 #[test]
-fn a_list_is_accepted_in_every_form_that_http_gives_it() {
+fn a_list_is_accepted_in_every_http_framing() {
     let backend = Backend::start(|_| ok_response("x"));
     let discovery = Discovery::start();
     let draining = endpoint("a", refusing_address(), "draining", 0);
@@ -97,7 +101,7 @@
         serde_json::to_string_pretty(&json!({"index": version, "snapshot": true, "endpoints": endpoints}))
             .unwrap()
     };
-    let forms: [fn(String) -> Reply; 4] = [
+    let framings: [fn(String) -> Reply; 4] = [
         |text| ok_response(&text),
         |text| Reply::Send(format!("HTTP/1.1 200 OK\r\ncOnTeNt-LeNgTh:{}\r\n\r\n{text}", text.len())),
         |text| Reply::SendAndClose(format!("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n{text}")),
@@ -109,34 +113,35 @@
         },
     ];
     let proxy = ProxyProcess::spawn(&config(discovery.address, &[draining]));
-    for (number, form) in forms.into_iter().enumerate() {
-        discovery.respond(form(list(10 * number as u64 + 1)));
+    for (number, framing) in framings.into_iter().enumerate() {
+        discovery.respond(framing(list(10 * number as u64 + 1)));
         assert_eq!(
             send_request(&proxy, &request("read", 7000)).status(),
             200,
-            "form {number}: {}",
+            "framing {number}: {}",
             proxy.log()
         );
         let drained = json!({"index": 10 * number + 2, "snapshot": false,
             "endpoints": [endpoint("b", backend.address, "draining", 0)]});
         discovery.respond_with_body(&drained.to_string());
-        assert_eq!(proxy.readiness_status(), 503, "form {number}");
+        assert_eq!(proxy.readiness_status(), 503, "framing {number}");
     }
 }
 
-/// Guards against a watch that waits for ever for a discovery that accepts calls and never answers.
+/// Guards against a watch that waits forever for a discovery agent that accepts calls and never answers.
 #[test]
 fn an_unresponsive_agent_does_not_stop_the_watch() {
     let backend = Backend::start(|_| ok_response("x"));
     let (proxy, discovery) = proxy_for(&[("a", &backend)]);
-    wait_until("a second call after the first was given up", || discovery.call_count() >= 2);
+    wait_until("a second call after the first has timed out", || discovery.call_count() >= 2);
     assert_eq!(send_request(&proxy, &request("read", 7000)).status(), 200);
     assert_eq!(proxy.readiness_status(), 200);
 }
 
-/// Guards against a lost call that keeps the proxy from learning of a drain for longer than the rules allow.
+/// Guards against a lost call after which the proxy learns of a drain later than the drain notice limit
+/// allows.
 #[test]
-fn a_call_lost_by_the_agent_of_a_pushed_list_is_repeated_in_time() {
+fn a_lost_call_for_a_pushed_list_is_repeated_in_time() {
     let backend = Backend::start(|_| ok_response("x"));
     let (_proxy, discovery) = proxy_for(&[("a", &backend)]);
     wait_until("the watch", || discovery.call_count() > 0);
@@ -144,14 +149,14 @@
     {
         let began = Instant::now();
         discovery.respond(reply);
-        // The settings' second, and room for a loaded machine.
+        // The drain notice limit is one second here; the rest allows for a loaded machine.
         assert!(began.elapsed() < Duration::from_secs(3), "{:?}", began.elapsed());
     }
 }
 
-/// Guards against a watch that does not begin again after a failure where the list has to be polled.
+/// Guards against a watch that does not resume after a failure when the list is subscribed to.
 #[test]
-fn a_subscription_is_asked_for_by_the_balancer() {
+fn a_lost_subscription_is_renewed() {
     let backend = Backend::start(|_| ok_response("x"));
     let discovery = Discovery::start();
     let mut config = config(discovery.address, &[endpoint("a", refusing_address(), "draining", 0)]);
@@ -164,9 +169,10 @@
     assert_eq!(send_request(&proxy, &request("read", 7000)).status(), 200);
 }
 
-/// Guards against waits of all proxies that end together, so that the last learns of a drain too late.
+/// Guards against long polls of all proxies that end at the same time, so that the last proxy learns of a
+/// drain too late.
 #[test]
-fn the_proxies_of_a_fleet_do_not_all_wait_equally_long_for_changes() {
+fn the_long_polls_of_a_fleet_have_different_durations() {
     const PROXIES: u64 = 4;
     let waits: Vec<u64> = (0..PROXIES)
         .map(|proxy_index| {
@@ -176,19 +182,19 @@
             config["settings"]["group_size"] = json!(PROXIES);
             config["settings"]["position"] = json!(proxy_index);
             let _proxy = ProxyProcess::spawn(&config);
-            wait_until("its watch", || discovery.call_count() == 1);
+            wait_until("the first call", || discovery.call_count() == 1);
             let call = discovery.request_lines().remove(0);
-            let wait = call.split_once("wait_ms=").expect("a watch").1;
-            wait.split(' ').next().unwrap().parse().expect("milliseconds")
+            let wait = call.split_once("wait_ms=").expect("a call with wait_ms").1;
+            wait.split(' ').next().unwrap().parse().expect("a wait in milliseconds")
         })
         .collect();
-    // With the time for an answer none is longer than what leaves a second of the 6 s for the next call.
+    // Each wait plus the time for the answer leaves at least one second of the 6 s for the next call.
     assert!(waits.iter().all(|wait_ms| (1_500..=3_500).contains(wait_ms)), "{waits:?}");
-    let apart = waits.windows(2).all(|pair| pair[0].abs_diff(pair[1]) >= 400);
-    assert!(apart, "{waits:?}");
+    let all_differ = waits.windows(2).all(|pair| pair[0].abs_diff(pair[1]) >= 400);
+    assert!(all_differ, "{waits:?}");
 }
 
-/// Guards against memory that grows with every backend and kind ever seen, over weeks of releases.
+/// Guards against memory that grows with every backend and kind ever listed.
 #[test]
 fn memory_stays_flat_while_backends_and_kinds_come_and_go() {
     const RELEASES: usize = 1500;
--- a/tests/proxy/discovery_recovery.rs
+++ b/tests/proxy/discovery_recovery.rs
@@ -1,4 +1,4 @@
-//! Discovery that fails and recovers: how soon the proxy holds the list that it has then.
+//! Discovery that fails and recovers: how soon the proxy then receives the current list.
 
 use crate::support::{
     config, endpoint, ok_response, read_message, refusing_address, wait_until, with_value, ProxyProcess,
@@ -11,33 +11,34 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Whatever became of a call, a change counts as notified so long after discovery could be reached.
-const NOTIFIED_WITHIN: Duration = Duration::from_secs(6);
+/// Time after the recovery of discovery within which a proxy must have received the list, whatever happened
+/// to earlier calls.
+const NOTIFICATION_LIMIT: Duration = Duration::from_secs(6);
 
-/// What a service that has failed does with a call.
+/// How a failed discovery service responds to calls.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
     /// Answers 503.
     Unavailable,
-    /// Resets it.
+    /// Closes the connection.
     Reset,
-    /// Accepts it and never answers.
+    /// Accepts the call and never answers.
     Unresponsive,
     /// Refuses the connection.
     ConnectionRefused,
-    /// Lets no connection come up.
+    /// Lets no connection be established.
     ConnectTimeout,
 }
 
-/// A service that fails at first and then works for good, with a list of one backend.
+/// A discovery service that fails until it recovers, and then answers with a list of one backend.
 struct FailingService {
     address: SocketAddr,
     has_recovered: Arc<AtomicBool>,
-    /// They keep the queue of connections full.
+    /// Connections that fill the listen queue.
     _queued: Vec<TcpStream>,
 }
 
-/// Answers every call on a connection, or fails it as long as the service has not recovered.
+/// Answers the calls on a connection; they fail as long as the service has not recovered.
 fn serve_connection(mut stream: TcpStream, fault: Fault, has_recovered: &AtomicBool) {
     let Ok(read) = stream.try_clone() else { return };
     let mut reader = BufReader::new(read);
@@ -58,7 +59,7 @@
     fn start(fault: Fault) -> FailingService {
         let port = ReservedPort::bind();
         let address = port.address;
-        // While it refuses connections nobody else is given its port.
+        // The port stays bound while it refuses connections, so that no other process can get it.
         let listener = if fault == Fault::ConnectionRefused { Err(port) } else { Ok(port.listen()) };
         let has_recovered = Arc::new(AtomicBool::new(false));
         let connect_timeout = Duration::from_millis(300);
@@ -68,7 +69,7 @@
         let recovered = has_recovered.clone();
         std::thread::spawn(move || {
             if matches!(fault, Fault::ConnectionRefused | Fault::ConnectTimeout) {
-                wait_until("its recovery", || recovered.load(Ordering::SeqCst));
+                wait_until("the recovery", || recovered.load(Ordering::SeqCst));
             }
             let listener = listener.unwrap_or_else(ReservedPort::listen);
             for stream in listener.incoming().map_while(Result::ok) {
@@ -80,7 +81,7 @@
     }
 }
 
-/// How a proxy watches the list, and whether it starts with a cached one.
+/// How a proxy obtains the endpoint list, and whether it starts with a cached one.
 #[derive(Clone, Copy, Debug)]
 struct ProxyCase {
     mode: &'static str,
@@ -88,8 +89,8 @@
     has_cached_list: bool,
 }
 
-/// How long after the recovery of its service a proxy holds the list that it had not.
-fn notified_after(fault: Fault, case: ProxyCase) -> Duration {
+/// Returns how long after the recovery of discovery a proxy has received the list.
+fn time_to_notification(fault: Fault, case: ProxyCase) -> Duration {
     let service = FailingService::start(fault);
     let mut config = config(service.address, &[endpoint("a", refusing_address(), "draining", 0)]);
     config["settings"]["discovery"] = json!(case.mode);
@@ -106,9 +107,9 @@
     began.elapsed()
 }
 
-/// Guards against a proxy that never calls without a cached list, or waits 21.5 s for a watch that is lost.
+/// Guards against a proxy that never calls without a cached list, or waits 21.5 s for a lost call.
 #[test]
-fn whatever_became_of_its_calls_a_proxy_holds_the_list_within_6_s_of_the_return() {
+fn a_proxy_has_the_list_within_6_s_of_the_recovery() {
     let faults = [
         Fault::Unavailable,
         Fault::Reset,
@@ -116,27 +117,27 @@
         Fault::ConnectionRefused,
         Fault::ConnectTimeout,
     ];
-    let watches = [("subscribe", 0), ("subscribe", 469), ("automatic", 0)];
+    let modes = [("subscribe", 0), ("subscribe", 469), ("automatic", 0)];
     let case_of = |(mode, proxy_index), has_cached_list| ProxyCase { mode, proxy_index, has_cached_list };
     let cases: Vec<ProxyCase> =
-        watches.into_iter().flat_map(|watch| [true, false].map(|cached| case_of(watch, cached))).collect();
+        modes.into_iter().flat_map(|mode| [true, false].map(|cached| case_of(mode, cached))).collect();
     let combinations = faults.iter().flat_map(|fault| cases.iter().map(move |case| (*fault, *case)));
     let runs: Vec<_> = combinations
-        .map(|(fault, case)| (std::thread::spawn(move || notified_after(fault, case)), (fault, case)))
+        .map(|(fault, case)| (std::thread::spawn(move || time_to_notification(fault, case)), (fault, case)))
         .collect();
-    // All runs end, and with them their proxies, before any is judged.
-    let notified: Vec<_> = runs.into_iter().map(|(run, name)| (run.join(), name)).collect();
-    let is_late = |after: &std::thread::Result<Duration>| !matches!(after, Ok(t) if *t <= NOTIFIED_WITHIN);
-    let late: Vec<_> = notified.iter().filter(|(after, _)| is_late(after)).collect();
+    // All runs, and their proxies, end before any result is checked.
+    let results: Vec<_> = runs.into_iter().map(|(run, name)| (run.join(), name)).collect();
+    let is_late = |after: &std::thread::Result<Duration>| !matches!(after, Ok(t) if *t <= NOTIFICATION_LIMIT);
+    let late: Vec<_> = results.iter().filter(|(after, _)| is_late(after)).collect();
     assert!(late.is_empty(), "{late:?}");
 }
 
-/// The time that an overloaded service takes for one call.
+/// Time that an overloaded service takes for one call.
 const CALL_DURATION: Duration = Duration::from_millis(60);
-/// An overloaded service rejects a call that finds so many before it.
+/// Number of calls in progress or queued at which an overloaded service rejects further ones.
 const QUEUE_CAPACITY: usize = 8;
 
-/// A service with too many callers, which handles calls one after another.
+/// A discovery service with too many callers that handles calls one at a time.
 struct OverloadedService {
     address: SocketAddr,
     load: Arc<Load>,
@@ -145,7 +146,7 @@
 /// The calls of an overloaded service.
 #[derive(Default)]
 struct Load {
-    /// Held while a call is handled.
+    /// Locked while a call is handled.
     in_progress: Mutex<()>,
     queued: AtomicUsize,
     rejected: AtomicUsize,
@@ -171,13 +172,13 @@
         let mut reader = BufReader::new(read);
         while let Some(call) = read_message(&mut reader) {
             if call.start_line.contains("after=7&") {
-                std::thread::park_timeout(FAILURE_TIMEOUT); // a watch on the list that never changes again
+                std::thread::park_timeout(FAILURE_TIMEOUT); // a long poll; the list does not change any more
                 return;
             }
             let response = if load.queued.fetch_add(1, Ordering::SeqCst) < QUEUE_CAPACITY {
-                let turn = load.in_progress.lock();
+                let guard = load.in_progress.lock();
                 std::thread::sleep(CALL_DURATION);
-                drop(turn);
+                drop(guard);
                 format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}", list.len())
             } else {
                 load.rejected.fetch_add(1, Ordering::SeqCst);
@@ -191,10 +192,10 @@
     }
 }
 
-/// Guards against a herd of starting proxies whose rejected calls come again too late.
+/// Guards against a thundering herd of starting proxies whose rejected calls are repeated too late.
 #[test]
-fn nine_in_ten_of_those_that_start_together_are_ready_within_10_s() {
-    const STARTED: u32 = 40;
+fn nine_in_ten_proxies_that_start_together_are_ready_within_10_s() {
+    const PROXIES: u32 = 40;
     let ready = endpoint("b", refusing_address(), "ready", 0);
     let service =
         OverloadedService::start(json!({"index": 7, "snapshot": true, "endpoints": [ready]}).to_string());
@@ -211,10 +212,12 @@
         })
     };
     let began = Instant::now();
-    let proxies: Vec<ProxyProcess> = (0..STARTED).map(start).collect();
+    let proxies: Vec<ProxyProcess> = (0..PROXIES).map(start).collect();
     let is_notified =
         |proxy: &&ProxyProcess| proxy.log().contains("endpoint list received version=7 entries=1");
-    wait_until("nine in ten", || proxies.iter().filter(is_notified).count() as u32 * 10 >= STARTED * 9);
+    wait_until("nine in ten proxies to have the list", || {
+        proxies.iter().filter(is_notified).count() as u32 * 10 >= PROXIES * 9
+    });
     assert!(began.elapsed() < Duration::from_secs(10), "{:?}", began.elapsed());
-    assert!(service.load.rejected.load(Ordering::SeqCst) > 0, "the service had too many callers");
+    assert!(service.load.rejected.load(Ordering::SeqCst) > 0, "the service was not overloaded");
 }
--- a/tests/proxy/graceful_shutdown.rs
+++ b/tests/proxy/graceful_shutdown.rs
@@ -1,4 +1,4 @@
-//! SIGTERM: every request is answered before the process is killed.
+//! Graceful shutdown on SIGTERM: every pending request is answered before the process is killed.
 
 use crate::support::{
     config, endpoint, ok_response, proxy_for, request, wait_until, Backend, Client, Discovery, ProxyProcess,
@@ -7,9 +7,9 @@
 use serde_json::json;
 use std::time::{Duration, Instant};
 
-/// Guards against requests in flight that are broken off, and idle connections that delay the end.
+/// Guards against requests in flight that are aborted, and against idle connections that delay the exit.
 #[test]
-fn sigterm_finishes_what_was_received_and_exits_with_success() {
+fn sigterm_completes_the_requests_received_and_exits_with_success() {
     let backend = Backend::start(|message| {
         if message.start_line.contains("slow") {
             std::thread::sleep(Duration::from_millis(1500));
@@ -25,15 +25,15 @@
     wait_until("the slow request", || backend.requests().len() == 2);
     proxy.terminate();
     wait_until("not ready", || proxy.readiness_status() != 200);
-    let response = slow_client.read_response().expect("an answer to what was taken");
+    let response = slow_client.read_response().expect("an answer to the request in flight");
     assert_eq!((response.status(), response.header("connection")), (200, Some("close")));
-    assert!(idle_client.ends());
+    assert!(idle_client.closes());
     assert!(proxy.wait_for_exit().success());
 }
 
-/// Guards against requests that are unanswered at SIGKILL, 3.7 s after SIGTERM.
+/// Guards against requests that are still unanswered at SIGKILL, 3.7 s after SIGTERM.
 #[test]
-fn sigterm_brings_every_answer_before_the_kill() {
+fn every_request_is_answered_between_sigterm_and_sigkill() {
     let backend = Backend::start(|_| Reply::NoResponse);
     let discovery = Discovery::start();
     let hanging_backend = config(discovery.address, &[endpoint("a", backend.address, "ready", 0)]);
@@ -43,7 +43,7 @@
         let mut clients: Vec<Client> = (0..3).map(|_| Client::open(proxy.address)).collect();
         clients[0].send(&request("pay", 60_000));
         clients[1].send(&request("vote", 60_000));
-        wait_until("both have come", || proxy.count_in_log("request received ") == 2);
+        wait_until("both requests to be received", || proxy.count_in_log("request received ") == 2);
         let began = Instant::now();
         proxy.terminate();
         wait_until("not ready", || proxy.readiness_status() != 200);
@@ -51,20 +51,20 @@
         proxy.terminate();
         let before = proxy.count_in_log("SIGHUP");
         proxy.reload(&config.to_string());
-        wait_until("a line about the reload", || proxy.count_in_log("SIGHUP") > before);
+        wait_until("a log line of the reload", || proxy.count_in_log("SIGHUP") > before);
         for (client, status) in clients.iter_mut().zip(statuses) {
             assert_eq!(client.read_response().map(|response| response.status()), Some(status));
         }
         assert!(proxy.wait_for_exit().success());
-        // Far earlier than any deadline.
+        // Much earlier than the deadline of any request.
         assert!(began.elapsed() < Duration::from_secs(6), "{:?}", began.elapsed());
         assert!(!proxy.log().contains("ERROR"), "{}", proxy.log());
     }
 }
 
-/// Guards against answers that a stalled process gives only after SIGKILL would have come.
+/// Guards against answers that a stalled process sends only after the time of SIGKILL.
 #[test]
-fn a_stalled_process_brings_every_answer_before_the_kill_too() {
+fn a_stalled_process_answers_every_request_before_sigkill() {
     const STALL: Duration = Duration::from_millis(150);
     let backend = Backend::start(|_| Reply::NoResponse);
     let discovery = Discovery::start();
@@ -74,35 +74,37 @@
         profile["deadline_us"] = json!(longest_deadline.as_micros() as u64);
         profile["aim_us"] = json!(500_000);
     }
-    let kill = longest_deadline + Duration::from_millis(700);
-    // The second stall begins at several moments before the kill.
+    let kill_delay = longest_deadline + Duration::from_millis(700);
+    // The second stall begins at different times before the kill.
     for before_kill_ms in [290, 270, 250, 230, 210, 190, 170] {
         let proxy = ProxyProcess::start(&config);
         let mut client = Client::open(proxy.address);
         client.send(&request("pay", 60_000));
-        wait_until("it has come", || proxy.count_in_log("request received ") == 1);
+        wait_until("the request to be received", || proxy.count_in_log("request received ") == 1);
         let mut began = Instant::now();
         let first_stall = proxy.stall(STALL, || {
             began = Instant::now();
             proxy.terminate();
         });
-        std::thread::sleep((kill - Duration::from_millis(before_kill_ms)).saturating_sub(began.elapsed()));
+        std::thread::sleep(
+            (kill_delay - Duration::from_millis(before_kill_ms)).saturating_sub(began.elapsed()),
+        );
         let second_stall = proxy.stall(STALL, || {});
         client.set_read_timeout(Duration::from_secs(2));
         let status = client.read_response().map(|response| response.status());
-        // A loaded machine stalls it for longer than the rule has it: by so much the kill would be early.
-        let beyond = first_stall.saturating_sub(STALL) + second_stall.saturating_sub(STALL);
+        // On a loaded machine the stalls take longer than `STALL`; the limit is extended by the excess.
+        let excess_stall = first_stall.saturating_sub(STALL) + second_stall.saturating_sub(STALL);
         assert!(
-            status == Some(502) && began.elapsed() < kill + beyond,
+            status == Some(502) && began.elapsed() < kill_delay + excess_stall,
             "{status:?} after {:?}",
             began.elapsed()
         );
     }
 }
 
-/// Guards against half a request whose connection is closed as an idle one.
+/// Guards against a connection with a partially received request that is closed as if it were idle.
 #[test]
-fn sigterm_waits_for_the_rest_of_a_request_that_has_begun() {
+fn sigterm_waits_for_the_rest_of_a_partially_received_request() {
     let backend = Backend::start(|_| ok_response("x"));
     let (mut proxy, _discovery) = proxy_for(&[("a", &backend)]);
     let pay = request("pay", 7000);
@@ -111,12 +113,12 @@
         client.send(&request("read", 7000));
         assert_eq!(client.read_response().map(|response| response.status()), Some(200));
         client.send(&pay[..cut]);
-        std::thread::sleep(Duration::from_millis(50)); // mostly it has been read by then
+        std::thread::sleep(Duration::from_millis(50)); // usually enough for the proxy to read it
         proxy.terminate();
-        wait_until("the listener closed", || proxy.readiness_status() == 0);
+        wait_until("the listener to close", || proxy.readiness_status() == 0);
         client.send(&pay[cut..]);
         let response = client.read_response().expect("an answer");
-        // The body has less time than a loaded machine may take.
+        // On a loaded machine the body may miss its deadline.
         let is_body_late = cut > 5 && response.status() == 408;
         assert!(response.status() == 200 || is_body_late, "{response:?}");
         assert!(proxy.wait_for_exit().success());
@@ -124,14 +126,14 @@
     }
 }
 
-/// Guards against the first request of an accepted connection that is lost as the listener closes.
+/// Guards against the first request of an accepted connection that is lost when the listener closes.
 #[test]
 fn sigterm_waits_for_the_first_request_of_a_connection() {
     let backend = Backend::start(|_| ok_response("x"));
     let (mut proxy, _discovery) = proxy_for(&[("a", &backend)]);
     let mut new_client = Client::open(proxy.address);
     proxy.terminate();
-    wait_until("the listener closed", || proxy.readiness_status() == 0);
+    wait_until("the listener to close", || proxy.readiness_status() == 0);
     new_client.send(&request("read", 7000));
     assert_eq!(new_client.read_response().map(|response| response.status()), Some(200));
     assert!(proxy.wait_for_exit().success());
--- a/tests/proxy/idle_clients.rs
+++ b/tests/proxy/idle_clients.rs
@@ -1,4 +1,4 @@
-//! Idle clients that take every connection slot, new ones coming all the time.
+//! Idle clients that occupy every connection slot while new ones keep connecting.
 
 use crate::support::{
     config, endpoint, ok_response, refusing_address, request, send_request, wait_until, Backend, Client,
@@ -10,20 +10,20 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Clients that connect all the time, send nothing and stay until the proxy ends them.
+/// Clients that keep connecting, send nothing and stay until the proxy closes their connections.
 struct IdleClients {
     stop: Arc<AtomicBool>,
     connecting: Option<std::thread::JoinHandle<()>>,
 }
 
 impl IdleClients {
-    /// Connects so many a second.
+    /// Starts opening `clients_per_second` connections a second.
     fn start(address: SocketAddr, clients_per_second: u32) -> IdleClients {
         let stop = Arc::new(AtomicBool::new(false));
-        let is_stopped = stop.clone();
+        let stop_requested = stop.clone();
         let connecting = std::thread::spawn(move || {
             let mut clients = Vec::new();
-            while !is_stopped.load(Ordering::SeqCst) {
+            while !stop_requested.load(Ordering::SeqCst) {
                 clients.extend(Client::try_open(address));
                 std::thread::sleep(Duration::from_secs(1) / clients_per_second);
             }
@@ -41,9 +41,9 @@
     }
 }
 
-/// Guards against idle clients that keep out calls of discovery, connections to backends, and requests.
+/// Guards against idle clients that block calls to discovery, connections to backends, or requests.
 #[test]
-fn many_idle_clients_keep_out_neither_list_changes_nor_backends_nor_requests() {
+fn many_idle_clients_do_not_block_list_updates_backends_or_requests() {
     let backend = Backend::start(|_| ok_response("x"));
     let address = refusing_address();
     let reserved_port = ReservedPort::bind();
@@ -51,7 +51,7 @@
     config["limits"]["sockets"] = json!(64);
     let proxy = ProxyProcess::start(&config);
     let _idle_clients = IdleClients::start(proxy.address, 25);
-    wait_until("all slots are taken", || {
+    wait_until("all connection slots to be in use", || {
         proxy.readiness_status() == 200 && proxy.log().contains("discovery call failed ")
     });
     std::thread::sleep(Duration::from_secs(3));
@@ -61,7 +61,7 @@
     for number in 0..20 {
         assert_eq!(send_request(&proxy, &request("read", 7000)).status(), 200, "request {number}");
     }
-    // Sixteen slots, each freed within two seconds, and 25 new clients a second.
+    // There are sixteen slots, each freed within two seconds, and 25 new clients a second.
     assert!(began.elapsed() < Duration::from_secs(20), "{:?}", began.elapsed());
-    assert!(!proxy.log().contains("accept failed "), "descriptors were left");
+    assert!(!proxy.log().contains("accept failed "), "an accept failed although descriptors were available");
 }
--- a/tests/proxy/logging.rs
+++ b/tests/proxy/logging.rs
@@ -4,7 +4,7 @@
     ok_response, proxy_for, request, send_request, wait_until, Backend, Client, Message, Reply,
 };
 
-/// Guards against requests whose arrival, attempts or end cannot be found by the id that their client gave.
+/// Guards against log events of a request or its attempts that lack the client's correlation id.
 #[test]
 fn a_request_can_be_followed_through_the_log_by_its_correlation_id() {
     let respond = |message: &Message| match message.start_line.contains("/pay/") {
@@ -22,24 +22,25 @@
         proxy.log().lines().filter(|line| line.contains(&field)).map(str::to_string).collect()
     };
     let address_field = format!("address={}", backend.address);
-    // Before the time-out, for which the balancer may eject the only backend for a while.
+    // This comes before the request that times out, after which the balancer may eject the only backend.
     let mut disconnecting_client = Client::open(proxy.address);
     disconnecting_client.send(&request("pay", 7000).replace("9b1f03aa5c7e2d41", "33cc"));
     wait_until("the attempt", || lines("33cc").len() == 2);
     drop(disconnecting_client);
-    wait_until("its end", || {
+    wait_until("the end of the request", || {
         lines("33cc").iter().any(|line| line.contains("request ended outcome=client_disconnected "))
     });
-    // More than a quarter of the objective: with less a class without any answer yet may be given up.
+    // The time left exceeds a quarter of the latency objective: with less, a request of a class without any
+    // answers yet may be abandoned.
     let cases = [("read", 7000, 200, "11aa", "served"), ("pay", 2000, 502, "22bb", "failed")];
     for (class, time_left_ms, status, id, outcome) in cases {
         assert_eq!(status_of(class, time_left_ms, id), status, "{class}");
         let end = format!("request ended outcome={outcome} ");
-        let parts = ["request received ", &address_field, "attempt ended attempt=0 ", &end];
-        wait_until("its last line", || lines(id).len() == parts.len());
+        let events = ["request received ", &address_field, "attempt ended attempt=0 ", &end];
+        wait_until("the last event of the request", || lines(id).len() == events.len());
         let logged = lines(id);
         assert!(
-            parts.iter().all(|part| logged.iter().any(|line| line.contains(part))),
+            events.iter().all(|event| logged.iter().any(|line| line.contains(event))),
             "{class}: {logged:?}"
         );
     }
--- a/tests/proxy/main.rs
+++ b/tests/proxy/main.rs
@@ -1,4 +1,5 @@
-//! The built proxy over loopback sockets: what must hold whatever clients, backends and discovery do.
+//! End-to-end tests of the proxy binary over loopback sockets, with well-behaved and faulty clients, backends
+//! and discovery services.
 
 mod backend_answers;
 mod capacity;
--- a/tests/proxy/malformed_requests.rs
+++ b/tests/proxy/malformed_requests.rs
@@ -1,11 +1,11 @@
-//! Requests that are malformed, pipelined or longer than what is read of them.
+//! Requests that are malformed, pipelined or too long.
 
 use crate::support::{ok_response, proxy_for, request, send_request, Backend, Client};
 use std::time::Duration;
 
-/// Guards against malformed requests that are forwarded, or end the proxy.
+/// Guards against malformed requests that are forwarded or crash the proxy.
 #[test]
-fn malformed_requests_reach_no_backend_and_leave_the_proxy_alive() {
+fn malformed_requests_are_rejected_and_not_forwarded() {
     let backend = Backend::start(|_| ok_response("x"));
     let (proxy, _discovery) = proxy_for(&[("a", &backend)]);
     let (read, pay) = (request("read", 7000), request("pay", 7000));
@@ -34,19 +34,19 @@
         assert_eq!(send_request(&proxy, &text).status(), status, "{}", &text[..text.len().min(300)]);
     }
     assert!(backend.requests().is_empty());
-    // The longest time left that can be written is one like any other.
+    // The largest remaining time that can be represented is valid.
     assert_eq!(send_request(&proxy, &read.replace("7000", &u64::MAX.to_string())).status(), 200);
     assert_eq!(send_request(&proxy, &read).status(), 200);
 }
 
-/// Guards against a response that is lost in the reset of a connection which is closed with bytes unread.
+/// Guards against a response that is lost because a connection with unread bytes is reset.
 #[test]
-fn an_answer_is_not_destroyed_by_what_was_left_unread() {
+fn unread_bytes_do_not_destroy_the_response() {
     let backend = Backend::start(|_| ok_response("x"));
     let (proxy, _discovery) = proxy_for(&[("a", &backend)]);
     let (read, pay, extra) = (request("read", 7000), request("pay", 7000), "x".repeat(200_000));
     let length = format!("Content-Length: {}", extra.len());
-    // What stays on an open connection is half a request, with its own response.
+    // On a connection that stays open, the extra bytes are an incomplete request with a response of its own.
     let cases = [
         (pay.replace("Content-Length: 4", &length).replace("body", &extra), 413, None),
         (format!("{}{extra}", read.replace("read/", "none/")), 400, Some(408)),
@@ -62,8 +62,9 @@
             "after {status}: {:.80}",
             text
         );
-        assert!(client.ends_without_reset(), "reset after {status}: {:.80}", text);
-        // A client that is still sending as the answer comes must not be reset before it has read that.
+        assert!(client.closes_without_reset(), "reset after {status}: {:.80}", text);
+        // The connection of a client that is still sending must not be reset before the client has read the
+        // response.
         for _ in 0..3 {
             std::thread::sleep(Duration::from_millis(10));
             assert!(client.try_send("more").is_ok(), "reset after {status}: {:.80}", text);
@@ -71,9 +72,10 @@
     }
 }
 
-/// Guards against pipelined requests that are answered out of turn, and half a request that is forwarded.
+/// Guards against pipelined requests that are answered out of order, and an incomplete request that is
+/// forwarded.
 #[test]
-fn pipelined_requests_are_answered_in_turn_and_a_cut_one_reaches_nobody() {
+fn pipelined_requests_are_answered_in_order_and_a_truncated_one_is_not_forwarded() {
     let backend = Backend::start(|message| {
         ok_response(if message.start_line.contains("/vote/") { "vote" } else { "read" })
     });
@@ -86,7 +88,7 @@
     }
     client.stop_sending();
     assert!(client.read_response().is_none_or(|response| response.status() == 400));
-    // Headers that are longer than any that are read.
+    // Headers above the maximum length.
     let long = read.replace("\r\n\r\n", &format!("\r\nX-Long: {}\r\n\r\n", "x".repeat(1 << 20)));
     let mut client = Client::open(proxy.address);
     client.send(&long);
--- a/tests/proxy/reload/changed_settings.rs
+++ b/tests/proxy/reload/changed_settings.rs
@@ -1,13 +1,13 @@
-//! Which settings come into force, and which need a restart.
+//! Settings that a reload applies, and settings that need a restart.
 
 use super::{class, reload, reload_log, request_of_class, start_reloadable_proxy, ReloadableProxy};
 use crate::support::{ok_response, request, send_request, wait_until, with_value, Backend, Client, Reply};
 use serde_json::json;
 use std::time::{Duration, Instant};
 
-/// Guards against classes and tenants that stay after a reload without them, or miss after one with them.
+/// Guards against removed classes and tenants that remain after a reload, and added ones that are missing.
 #[test]
-fn classes_and_tenants_come_and_go() {
+fn a_reload_adds_and_removes_classes_and_tenants() {
     let backend = Backend::start(|_| ok_response("x"));
     let ReloadableProxy { proxy, mut config, .. } = start_reloadable_proxy(&[&backend]);
     let status = |text: &str| send_request(&proxy, text).status();
@@ -15,23 +15,24 @@
     config["settings"]["profiles"] = json!([class("new", "free"), class("read", "single_shot")]);
     reload(&proxy, &config);
     assert_eq!((status(&request_of_class("new", "GET")), status(&request("pay", 7000))), (200, 400));
-    // A class that stays, under another number and with another idempotency: its method is checked by that.
+    // The class `read` remains, with another index and another idempotency that determines the allowed
+    // method.
     assert_eq!((status(&request("read", 7000)), status(&request_of_class("read", "POST"))), (400, 200));
-    let named = |tenant: &str| {
+    let request_of_tenant = |tenant: &str| {
         request_of_class("new", "GET").replace("X-Time", &format!("X-Account: {tenant}\r\nX-Time"))
     };
     config["settings"]["customers"] = json!([{"name": "acme", "quota_rps": 50.0}]);
     reload(&proxy, &config);
-    assert_eq!((status(&named("acme")), status(&named("other"))), (200, 400));
+    assert_eq!((status(&request_of_tenant("acme")), status(&request_of_tenant("other"))), (200, 400));
     config["settings"]["customers"] =
         json!([{"name": "other", "quota_rps": 50.0}, {"name": "other", "quota_rps": 1.0}]);
     reload(&proxy, &config);
-    assert_eq!((status(&named("acme")), status(&named("other"))), (400, 200));
+    assert_eq!((status(&request_of_tenant("acme")), status(&request_of_tenant("other"))), (400, 200));
 }
 
-/// Guards against limits that stay as they were at the start.
+/// Guards against limits that keep their initial values after a reload.
 #[test]
-fn the_limits_come_into_force() {
+fn changed_limits_take_effect() {
     let backend =
         Backend::start(|m| if m.start_line.contains("/pay/") { Reply::NoResponse } else { ok_response("x") });
     let ReloadableProxy { proxy, mut config, .. } = start_reloadable_proxy(&[&backend]);
@@ -43,7 +44,7 @@
     reload(&proxy, &config);
     assert_eq!(send_request(&proxy, &request("read", 7000)).status(), 503);
     config["settings"]["limits"]["open_cap"] = json!(20_000);
-    // Idle connections are closed at once: each of these requests comes on its own.
+    // Idle connections are now closed immediately, so each of these requests uses a new connection.
     config["settings"]["limits"]["conn_idle_us"] = json!(0);
     reload(&proxy, &config);
     let before = backend.opened_connections();
@@ -51,14 +52,14 @@
         assert_eq!(send_request(&proxy, &request("read", 7000)).status(), 200);
     }
     assert_eq!(backend.opened_connections(), before + 5);
-    wait_until("all but that of the request in flight closed", || {
+    wait_until("all connections but that of the request in flight to close", || {
         backend.closed_connections() == backend.opened_connections() - 1
     });
 }
 
-/// Guards against a proxy that keeps its subset after the proxy count or its proxy index has changed.
+/// Guards against a proxy that keeps its subset after the proxy count or its index has changed.
 #[test]
-fn the_proxy_count_and_index_come_into_force() {
+fn changed_proxy_count_and_index_take_effect() {
     let backends: Vec<Backend> = (0..30).map(|_| Backend::start(|_| ok_response("x"))).collect();
     let ReloadableProxy { proxy, mut config, .. } =
         start_reloadable_proxy(&backends.iter().collect::<Vec<_>>());
@@ -74,34 +75,38 @@
     assert!(used_backends().len() > 10);
     (config["settings"]["group_size"], config["settings"]["position"]) = (json!(100), json!(7));
     reload(&proxy, &config);
-    let seventh = used_backends();
-    assert!(seventh.len() <= 8, "{seventh:?}");
+    let subset_at_7 = used_backends();
+    assert!(subset_at_7.len() <= 8, "{subset_at_7:?}");
     config["settings"]["position"] = json!(8);
     reload(&proxy, &config);
-    let eighth = used_backends();
-    assert!(eighth.iter().all(|backend| !seventh.contains(backend)), "{seventh:?}, {eighth:?}");
+    let subset_at_8 = used_backends();
+    assert!(
+        subset_at_8.iter().all(|backend| !subset_at_7.contains(backend)),
+        "{subset_at_7:?}, {subset_at_8:?}"
+    );
 }
 
-/// Guards against calls for a pushed list that go on waiting for the time of the old settings.
+/// Guards against calls for a pushed list that keep the wait of the old settings.
 #[test]
-fn the_drain_notice_limit_comes_into_force() {
+fn a_changed_drain_notice_limit_takes_effect() {
     let backend = Backend::start(|_| ok_response("x"));
     let ReloadableProxy { proxy, discovery, mut config } = start_reloadable_proxy(&[&backend]);
     config["settings"]["rules"]["stop_sending_within_us"] = json!(3_000_000);
     reload(&proxy, &config);
     let has_called_with = |wait: &str| discovery.request_lines().iter().any(|call| call.contains(wait));
-    wait_until("a call with half of that", || has_called_with("wait_ms=1500"));
+    wait_until("a call that waits for half the limit", || has_called_with("wait_ms=1500"));
     assert!(!has_called_with("wait_ms=200"));
     config["settings"]["rules"]["stop_sending_within_us"] = json!(400_000);
     reload(&proxy, &config);
     let began = Instant::now();
-    wait_until("a call with half of that", || has_called_with("wait_ms=200"));
+    wait_until("a call that waits for half the limit", || has_called_with("wait_ms=200"));
     assert!(began.elapsed() < Duration::from_secs(3), "{:?}", began.elapsed());
 }
 
-/// Guards against a key that needs a restart and takes effect at once, or is ignored without a log line.
+/// Guards against a change of a restart-only key that takes effect at once, or is ignored without a log
+/// event.
 #[test]
-fn what_needs_a_restart_keeps_its_value_and_says_so() {
+fn restart_only_keys_keep_their_values_and_are_logged() {
     let backend = Backend::start(|_| ok_response("x"));
     let ReloadableProxy { proxy, config, .. } = start_reloadable_proxy(&[&backend]);
     let cases = [
--- a/tests/proxy/reload/discovery_address.rs
+++ b/tests/proxy/reload/discovery_address.rs
@@ -1,4 +1,4 @@
-//! SIGHUP moves the proxy to another discovery.
+//! Change of the discovery address by a reload.
 
 use crate::support::{
     config, endpoint, ok_response, request, send_request, wait_until, with_value, Backend, Discovery,
@@ -7,9 +7,9 @@
 use serde_json::{json, Value};
 use std::time::{Duration, Instant};
 
-/// Guards against a watch that stays at the old address, or is moved by a file that cannot be used.
+/// Guards against a watch that keeps calling the old address, or moves because of a rejected file.
 #[test]
-fn sighup_moves_discovery_and_a_bad_file_changes_nothing() {
+fn a_reload_changes_the_discovery_address_unless_the_file_is_rejected() {
     for mode in ["automatic", "subscribe"] {
         let (backend_a, backend_b) =
             (Backend::start(|_| ok_response("a")), Backend::start(|_| ok_response("b")));
@@ -17,7 +17,7 @@
         let mut config = config(old.address, &[endpoint("a", backend_a.address, "ready", 0)]);
         config["settings"]["discovery"] = json!(mode);
         let proxy = ProxyProcess::start(&config);
-        wait_until("the watch", || old.call_count() > 0);
+        wait_until("the first call", || old.call_count() > 0);
         let config_with = |pointer: &str, value: Value| with_value(&config, pointer, value).to_string();
         let rejected_files = [
             String::new(),
@@ -31,7 +31,7 @@
         for rejected in rejected_files {
             let before = proxy.count_in_log("SIGHUP");
             proxy.reload(&rejected);
-            wait_until("a line about the rejected file", || proxy.count_in_log("SIGHUP") > before);
+            wait_until("a log line about the rejected file", || proxy.count_in_log("SIGHUP") > before);
             assert_eq!(send_request(&proxy, &request("read", 7000)).body, b"a", "{mode}");
             assert_eq!(new.call_count(), 0, "{mode}: moved by {rejected}");
         }
@@ -42,15 +42,18 @@
         assert_eq!(
             send_request(&proxy, &request("read", 7000)).body,
             b"a",
-            "the old list holds until there is a new one"
+            "the old list was dropped before a new one was received"
         );
         new.publish_snapshot(&[endpoint("b", backend_b.address, "ready", 0)]);
-        wait_until("the new list", || send_request(&proxy, &request("read", 7000)).body == b"b");
-        assert_eq!(old.call_count(), before, "{mode}: the old address is left alone");
+        wait_until("the new list to be applied", || {
+            send_request(&proxy, &request("read", 7000)).body == b"b"
+        });
+        assert_eq!(old.call_count(), before, "{mode}: the old address was called again");
     }
 }
 
-/// Guards against a proxy that waits its turn in the fleet to call an unresponsive discovery again.
+/// Guards against a proxy that waits for its slot in the fleet before it calls an unresponsive discovery
+/// again.
 #[test]
 fn an_unresponsive_discovery_is_called_again_at_once_for_a_snapshot() {
     let backend = Backend::start(|_| ok_response("x"));
@@ -63,9 +66,9 @@
     proxy.reload(&config.to_string());
     wait_until("a call at the new address", || new.call_count() == 1);
     let began = Instant::now();
-    wait_until("a second one", || new.call_count() == 2);
-    // A second later nothing more may go to a backend that drains.
+    wait_until("a second call", || new.call_count() == 2);
+    // One second later, no request may be sent to a draining backend any more.
     assert!(began.elapsed() < Duration::from_secs(5), "{:?}", began.elapsed());
     assert!(!proxy.log().contains("subscription lost"), "{}", proxy.log());
-    assert_eq!(send_request(&proxy, &request("read", 7000)).status(), 200, "the list held stays in force");
+    assert_eq!(send_request(&proxy, &request("read", 7000)).status(), 200, "the current list was dropped");
 }
--- a/tests/proxy/reload/large_files.rs
+++ b/tests/proxy/reload/large_files.rs
@@ -1,4 +1,4 @@
-//! Files of thousands of classes and tenants, and signals in quick succession.
+//! Reloads of files with thousands of classes and tenants, and signals in quick succession.
 
 use super::{
     class, ended_reloads, reload, reload_log, request_of_class, start_reloadable_proxy, ReloadableProxy,
@@ -11,34 +11,34 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// Guards against an older file that comes into force after the last of a burst of signals.
+/// Guards against an outdated file that is applied after the last of a burst of signals.
 #[test]
-fn a_burst_of_signals_ends_with_the_last_file() {
+fn a_burst_of_signals_applies_the_last_file() {
     let backend = Backend::start(|_| ok_response("x"));
     let ReloadableProxy { proxy, config, .. } = start_reloadable_proxy(&[&backend]);
-    let long_read = large_config(&config, 3_000, 10_000).to_string();
+    let large_file = large_config(&config, 3_000, 10_000).to_string();
     let mut last = 0;
     for round in 0..5 {
         for number in 0..10 {
             last = round * 10 + number;
-            // Every second file takes long to read: the signal for the next comes meanwhile.
+            // Every second file takes long to read, so the next signal arrives during that reload.
             let text = match number % 2 {
-                0 => long_read.clone(),
+                0 => large_file.clone(),
                 _ => with_value(&config, "/settings/profiles/2", class(&format!("c{last}"), "free"))
                     .to_string(),
             };
             proxy.reload(&text);
         }
-        wait_until("the last class", || {
+        wait_until("the class of the last file", || {
             send_request(&proxy, &request_of_class(&format!("c{last}"), "GET")).status() == 200
         });
         assert_eq!(
             send_request(&proxy, &request("pay", 7000)).status(),
             400,
-            "the class in its place is gone"
+            "the replaced class still exists"
         );
     }
-    std::thread::sleep(Duration::from_millis(300)); // for a read that would still be to come
+    std::thread::sleep(Duration::from_millis(300)); // time for any reload that is still pending
     assert_eq!(send_request(&proxy, &request_of_class(&format!("c{last}"), "GET")).status(), 200);
     let versions: Vec<u64> = reload_log(&proxy)
         .iter()
@@ -47,7 +47,7 @@
     assert!(versions.windows(2).all(|pair| pair[0] <= pair[1]), "{versions:?}");
 }
 
-/// Settings of thousands of classes and tenants.
+/// Returns a configuration with this many classes and tenants.
 fn large_config(config: &Value, classes: usize, tenants: usize) -> Value {
     let mut config = config.clone();
     let new_class = |number: usize| {
@@ -64,9 +64,10 @@
     config
 }
 
-/// Classes and tenants of the largest file that is played.
+/// Number of classes in the largest file.
 const CLASSES: usize = 5_900;
 
+/// Number of tenants in the largest file.
 const TENANTS: usize = 19_000;
 
 /// The latencies of a stream of requests.
@@ -93,9 +94,9 @@
     })
 }
 
-/// Guards against requests that wait while a large file is read.
+/// Guards against requests that are delayed while a large file is read.
 #[test]
-fn no_request_waits_for_a_large_file_to_be_read() {
+fn reading_a_large_file_does_not_delay_requests() {
     let backend = Backend::start(|_| ok_response("x"));
     let ReloadableProxy { proxy, config, .. } = start_reloadable_proxy(&[&backend]);
     let first = large_config(&config, CLASSES, TENANTS);
@@ -104,24 +105,27 @@
     reload(&proxy, &first);
     let stop = Arc::new(AtomicBool::new(false));
     let stream = start_request_stream(proxy.address, stop.clone());
-    let mut slowest = Duration::ZERO;
+    let mut longest_reload = Duration::ZERO;
     for number in 0..10 {
         let before = ended_reloads(&proxy);
         let began = Instant::now();
         proxy.reload(&texts[(number + 1) % 2]);
-        wait_until("in force", || ended_reloads(&proxy) > before);
-        slowest = slowest.max(began.elapsed());
+        wait_until("the reload", || ended_reloads(&proxy) > before);
+        longest_reload = longest_reload.max(began.elapsed());
         std::thread::sleep(Duration::from_millis(50));
     }
     stop.store(true, Ordering::SeqCst);
     let LatencySummary { longest, count } = stream.join().unwrap();
-    println!("{} bytes in force after {slowest:?}; longest of {count} requests {longest:?}", texts[0].len());
-    assert!(slowest < Duration::from_secs(3), "in force after {slowest:?}");
-    // Far more than on a quiet machine, far less than the whole of the read.
+    println!(
+        "{} bytes applied after {longest_reload:?}; longest of {count} requests {longest:?}",
+        texts[0].len()
+    );
+    assert!(longest_reload < Duration::from_secs(3), "applied after {longest_reload:?}");
+    // Much longer than on an idle machine, much shorter than reading the whole file.
     assert!(longest < Duration::from_millis(250), "{longest:?}");
 }
 
-/// Guards against memory of replaced configurations that is never freed.
+/// Guards against memory leaks of replaced configurations.
 #[test]
 fn memory_stays_flat_while_files_are_replaced() {
     let backend = Backend::start(|_| ok_response("x"));
@@ -138,9 +142,9 @@
     assert!(late < early + 8192, "{early} KiB after a third, {late} KiB at the end");
 }
 
-/// Guards against a SIGHUP after SIGTERM that delays the end or breaks requests in flight.
+/// Guards against a SIGHUP after SIGTERM that delays the exit or aborts requests in flight.
 #[test]
-fn a_reload_neither_delays_nor_breaks_the_end() {
+fn a_reload_does_not_disturb_the_graceful_shutdown() {
     let backend = Backend::start(|message| {
         if message.start_line.contains("/pay/") {
             std::thread::sleep(Duration::from_millis(900));
@@ -161,7 +165,7 @@
         std::thread::sleep(Duration::from_millis(20));
     }
     assert_eq!(client.read_response().map(|response| response.status()), Some(200));
-    assert!(client.ends_without_reset(), "reset");
+    assert!(client.closes_without_reset(), "the connection was reset");
     assert!(proxy.wait_for_exit().success());
     assert!(began.elapsed() < Duration::from_secs(5), "{:?}", began.elapsed());
     assert!(!proxy.log().contains("ERROR"), "{}", proxy.log());
--- a/tests/proxy/reload/mod.rs
+++ b/tests/proxy/reload/mod.rs
@@ -1,4 +1,4 @@
-//! A replaced configuration file and SIGHUP: everything that may change while the proxy runs.
+//! Configuration reloads by SIGHUP.
 
 mod changed_settings;
 mod discovery_address;
@@ -11,50 +11,50 @@
 };
 use serde_json::{json, Value};
 
-/// The log lines about reloads, without what precedes their message.
+/// Returns the log lines of reloads, from the message on.
 fn reload_log(proxy: &ProxyProcess) -> Vec<String> {
     let log = proxy.log();
     log.lines().filter_map(|line| Some(line.split_once("SIGHUP: ")?.1.to_string())).collect()
 }
 
-/// How many reloads have ended, in force or rejected.
+/// Returns how many reloads have ended, applied or rejected.
 fn ended_reloads(proxy: &ProxyProcess) -> usize {
     let is_end =
         |line: &&String| line.contains("configuration in force") || line.contains("configuration rejected");
     reload_log(proxy).iter().filter(is_end).count()
 }
 
-/// Replaces the file and waits until it is in force.
+/// Replaces the file, reloads it and waits until it is applied.
 fn reload(proxy: &ProxyProcess, config: &Value) {
     let before = ended_reloads(proxy);
     proxy.reload(&config.to_string());
-    wait_until("a line about the reload", || ended_reloads(proxy) > before);
+    wait_until("a log line of the reload", || ended_reloads(proxy) > before);
     let last = reload_log(proxy).pop().unwrap();
     assert!(last.contains("configuration in force"), "{last}");
 }
 
-/// A class as the settings have it.
+/// Returns the settings of a class.
 fn class(name: &str, effect: &str) -> Value {
     let mut class = settings()["profiles"][0].clone();
     (class["name"], class["effect"]) = (json!(name), json!(effect));
     class
 }
 
-/// A proxy, its discovery and its configuration.
+/// A proxy with its discovery service and its configuration.
 struct ReloadableProxy {
     proxy: ProxyProcess,
     discovery: Discovery,
     config: Value,
 }
 
-/// A proxy whose cached list holds these backends.
+/// Starts a proxy whose cached list contains these backends.
 fn start_reloadable_proxy(backends: &[&Backend]) -> ReloadableProxy {
     let discovery = Discovery::start();
     let config = config(discovery.address, &ready_endpoints(backends.iter().copied()));
     ReloadableProxy { proxy: ProxyProcess::start(&config), discovery, config }
 }
 
-/// A POST, or a GET, of a class of any name.
+/// Returns a GET or POST request of a class.
 fn request_of_class(name: &str, method: &str) -> String {
     let template = if method == "GET" { "read" } else { "pay" };
     request(template, 7000)
--- a/tests/proxy/reload/rejected_files.rs
+++ b/tests/proxy/reload/rejected_files.rs
@@ -1,4 +1,4 @@
-//! Files that cannot be used.
+//! Reloads of invalid files.
 
 use super::{reload, reload_log, request_of_class, start_reloadable_proxy, ReloadableProxy};
 use crate::support::{
@@ -6,20 +6,20 @@
 };
 use serde_json::{json, Value};
 
-/// The text of a file that cannot be used, and what its log line contains.
+/// The text of an invalid file, and a part of the expected error message.
 struct RejectedFile {
     text: String,
     error: &'static str,
 }
 
-/// Files that differ from this configuration in what makes them unusable.
+/// Returns invalid variants of a configuration.
 fn rejected_files(config: &Value) -> Vec<RejectedFile> {
     let rejected = |text: &str, error| RejectedFile { text: text.to_string(), error };
     let with = |pointer, value, error| rejected(&with_value(config, pointer, value).to_string(), error);
-    let whole_text = config.to_string();
+    let full_text = config.to_string();
     vec![
         rejected("", "BALANCER_CONFIG: expected JSON"),
-        rejected(&whole_text[..whole_text.len() / 2], "BALANCER_CONFIG: expected JSON"),
+        rejected(&full_text[..full_text.len() / 2], "BALANCER_CONFIG: expected JSON"),
         rejected("[]", "limits.sockets: missing"),
         with("/listen", json!("nowhere"), "listen: expected an IP address"),
         with("/discovery", json!("nowhere"), "discovery: expected an IP address"),
@@ -35,13 +35,13 @@
     ]
 }
 
-/// Guards against a rejected file that comes into force in part, or is logged in many lines or a long one.
+/// Guards against a rejected file that is partially applied, or logged on several lines or an overlong one.
 #[test]
-fn a_file_that_cannot_be_used_changes_nothing_of_what_it_says() {
+fn a_rejected_file_changes_nothing() {
     let backend = Backend::start(|_| ok_response("x"));
-    let ReloadableProxy { proxy, discovery, config: good } = start_reloadable_proxy(&[&backend]);
+    let ReloadableProxy { proxy, discovery, config: valid } = start_reloadable_proxy(&[&backend]);
     let other_discovery = Discovery::start();
-    let mut other = with_value(&good, "/discovery", json!(other_discovery.address.to_string()));
+    let mut other = with_value(&valid, "/discovery", json!(other_discovery.address.to_string()));
     other["settings"]["profiles"][2]["name"] = json!("new");
     let cases = rejected_files(&other);
     let assert_rejected = |error: &str| {
@@ -53,18 +53,18 @@
     };
     for (number, RejectedFile { text, error }) in cases.into_iter().enumerate() {
         proxy.reload(&text);
-        wait_until("a line about the rejected file", || reload_log(&proxy).len() > number);
-        assert_eq!(reload_log(&proxy).len(), number + 1, "one line each");
+        wait_until("a log line about the rejected file", || reload_log(&proxy).len() > number);
+        assert_eq!(reload_log(&proxy).len(), number + 1, "more than one log line for a file");
         assert_rejected(error);
     }
     let before = reload_log(&proxy).len();
     std::fs::remove_file(&proxy.config_file).unwrap();
     proxy.signal("-HUP");
-    wait_until("a line about the missing file", || reload_log(&proxy).len() > before);
+    wait_until("a log line about the missing file", || reload_log(&proxy).len() > before);
     assert_rejected("expected a readable file");
     assert_eq!(other_discovery.call_count(), 0);
     discovery.publish_delta(&[endpoint("s0", backend.address, "draining", 0)]);
-    wait_until("it still watches the old discovery", || proxy.readiness_status() == 503);
+    wait_until("the drain listed by the old discovery", || proxy.readiness_status() == 503);
     reload(&proxy, &other);
-    wait_until("it calls the new one", || other_discovery.call_count() > 0);
+    wait_until("a call to the new discovery", || other_discovery.call_count() > 0);
 }
--- a/tests/proxy/reload/requests_in_flight.rs
+++ b/tests/proxy/reload/requests_in_flight.rs
@@ -1,4 +1,4 @@
-//! Requests that are in flight or half received while the configuration is replaced.
+//! Requests that are in flight or partially received during a reload.
 
 use super::{class, reload, request_of_class, start_reloadable_proxy, ReloadableProxy};
 use crate::support::{ok_response, request, send_request, wait_until, Backend, Client, Reply};
@@ -6,7 +6,8 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 
-/// A backend that serves reads, and closes the connection of the first other request once its test says so.
+/// A backend that serves `read` requests, and closes the connection of the first other request once
+/// `may_close` is set.
 struct ClosingBackend {
     backend: Backend,
     may_close: Arc<AtomicBool>,
@@ -14,27 +15,27 @@
 
 fn start_closing_backend() -> ClosingBackend {
     let (may_close, has_closed) = (Arc::new(AtomicBool::new(false)), AtomicBool::new(false));
-    let closes_now = may_close.clone();
+    let close_allowed = may_close.clone();
     let backend = Backend::start(move |message| {
         if message.start_line.contains("/read/") || has_closed.load(Ordering::SeqCst) {
             return ok_response("x");
         }
-        wait_until("leave to close", || closes_now.load(Ordering::SeqCst));
+        wait_until("permission to close the connection", || close_allowed.load(Ordering::SeqCst));
         has_closed.store(true, Ordering::SeqCst);
         Reply::SendAndClose(String::new())
     });
     ClosingBackend { backend, may_close }
 }
 
-/// How a request ended, and how often it was sent.
+/// The status of a response and the number of attempts of its request.
 #[derive(Debug, PartialEq)]
 struct Outcome {
     status: u16,
     attempts: usize,
 }
 
-/// A request of a class that a reload replaces before the connection of its attempt closes. A second backend
-/// serves it if it is retried.
+/// Sends a request of a class that a reload changes, or removes if `new_effect` is `None`, before the
+/// connection of the attempt closes. The second backend serves the request if it is retried.
 fn outcome_after_reload(effect: &str, new_effect: Option<&str>) -> Outcome {
     let closing_backends = [start_closing_backend(), start_closing_backend()];
     let backends: Vec<&Backend> = closing_backends.iter().map(|closing| &closing.backend).collect();
@@ -62,18 +63,19 @@
     Outcome { status, attempts: attempts() }
 }
 
-/// Guards against a retry by the new idempotency of a class, or none by the old.
+/// Guards against retry decisions by the new idempotency of a class for requests that were received under the
+/// old one.
 #[test]
-fn a_request_in_hand_keeps_the_effect_that_it_came_with() {
+fn a_request_in_flight_keeps_the_idempotency_of_its_class() {
     assert_eq!(outcome_after_reload("single_shot", Some("free")), Outcome { status: 502, attempts: 1 });
     assert_eq!(outcome_after_reload("single_shot", None), Outcome { status: 502, attempts: 1 });
     assert_eq!(outcome_after_reload("free", None).attempts, 2, "not retried");
     assert_eq!(outcome_after_reload("free", Some("single_shot")).attempts, 2, "not retried");
 }
 
-/// Guards against a request that goes by classes which were replaced before its body came.
+/// Guards against a request that is handled under classes that were replaced before its body arrived.
 #[test]
-fn a_request_whose_body_comes_after_the_reload_goes_by_the_new_classes() {
+fn a_request_whose_body_arrives_after_a_reload_uses_the_new_classes() {
     let backend = Backend::start(|_| ok_response("x"));
     let ReloadableProxy { proxy, mut config, .. } = start_reloadable_proxy(&[&backend]);
     let pay = request("pay", 7000);
@@ -91,9 +93,9 @@
         reload(&proxy, &config);
         client.send(&pay[pay.len() - 2..]);
         let answer = client.read_response().expect("an answer").status();
-        // The body has less time than a loaded machine may take.
-        assert!(answer == status || answer == 408, "{answer} in place of {status}");
+        // On a loaded machine the body may miss its deadline.
+        assert!(answer == status || answer == 408, "expected {status}, got {answer}");
         client.stop_sending();
-        assert!(client.ends(), "more than one answer");
+        assert!(client.closes(), "more than one answer");
     }
 }
--- a/tests/proxy/slow_clients.rs
+++ b/tests/proxy/slow_clients.rs
@@ -1,4 +1,4 @@
-//! Clients that write slowly, which are served, and peers that send no whole request, which are not.
+//! Clients that send their requests slowly, and peers that never send a complete request.
 
 use crate::support::{
     config, endpoint, ok_response, proxy_for, request, Backend, Client, Discovery, ProxyProcess,
@@ -6,14 +6,15 @@
 use serde_json::json;
 use std::time::{Duration, Instant};
 
-/// A peer that sends no whole request has an error or the end of its connection so soon after it connects.
-const STALLED_PEER_END: Duration = Duration::from_secs(3);
+/// Time after which a peer that does not send a complete request must have got an error or a closed
+/// connection.
+const STALLED_PEER_LIMIT: Duration = Duration::from_secs(3);
 
 fn sleep_ms(ms: u64) {
     std::thread::sleep(Duration::from_millis(ms));
 }
 
-/// A client's connection, new or with one request on it answered.
+/// Opens a connection; if `served_before`, one request on it is sent and answered first.
 fn open(proxy: &ProxyProcess, served_before: bool) -> Client {
     let mut client = Client::open(proxy.address);
     if served_before {
@@ -23,14 +24,14 @@
     client
 }
 
-/// Sends the text in two parts with a pause between them.
+/// Sends the text in two parts with a pause in between.
 fn send_slowly(client: &mut Client, text: &str, first_length: usize, pause_ms: u64) {
     client.send(&text[..first_length]);
     sleep_ms(pause_ms);
     client.send(&text[first_length..]);
 }
 
-/// Runs the cases at one time, and returns each with its result.
+/// Runs the cases concurrently and returns each with its result.
 fn run_concurrently<Case: Copy + Send + 'static, Outcome: Send + 'static>(
     cases: &[Case], run: fn(Case) -> Outcome,
 ) -> Vec<(Case, Outcome)> {
@@ -42,7 +43,7 @@
     running.into_iter().map(|(case, thread)| (case, thread.join().unwrap())).collect()
 }
 
-/// Guards against an idle timeout that runs on through a request that has begun.
+/// Guards against an idle timeout that keeps running after a request has begun.
 #[test]
 fn a_request_that_begins_on_an_idle_connection_is_answered() {
     let run = |(served_before, idle_ms): (bool, u64)| {
@@ -63,9 +64,9 @@
     }
 }
 
-/// Guards against a body that is given up long before its request's deadline.
+/// Guards against a body that is abandoned long before the deadline of its request.
 #[test]
-fn a_body_that_comes_slowly_is_waited_for() {
+fn a_slow_body_is_awaited() {
     let run = |(served_before, body_delay_ms): (bool, u64)| {
         let backend = Backend::start(|_| ok_response("x"));
         let (proxy, _discovery) = proxy_for(&[("a", &backend)]);
@@ -83,11 +84,11 @@
     }
 }
 
-/// A peer that never sends a whole request.
+/// A peer that never sends a complete request.
 #[derive(Clone, Copy, Debug)]
 struct StalledPeer {
     text: &'static str,
-    /// Whether it sends a whole request first.
+    /// Whether a complete request is sent and answered first.
     served_before: bool,
 }
 
@@ -95,7 +96,7 @@
     StalledPeer { text, served_before }
 }
 
-const PAY_WITHOUT_ITS_BODY: &str = concat!(
+const PAY_WITH_PARTIAL_BODY: &str = concat!(
     "POST /pay/a HTTP/1.1\r\nX-Correlation-Id: 1\r\nX-Service-Class: pay\r\n",
     "X-Time-Left-Ms: 60000\r\nContent-Length: 4\r\n\r\nbo"
 );
@@ -105,12 +106,13 @@
     stalled_peer("GET /read", false),
     stalled_peer("GET /read", true),
     stalled_peer("GET /read/a HTTP/1.1\r\nHost: x\r\n", false),
-    stalled_peer(PAY_WITHOUT_ITS_BODY, false),
-    stalled_peer(PAY_WITHOUT_ITS_BODY, true),
+    stalled_peer(PAY_WITH_PARTIAL_BODY, false),
+    stalled_peer(PAY_WITH_PARTIAL_BODY, true),
 ];
 
-/// How long after it connected, or after it began where it was served before, the connection of a peer ended.
-fn ended_after(stalled_peer: StalledPeer, proxy: &ProxyProcess) -> Duration {
+/// Returns the time from the connect of the peer, or from the first byte of its incomplete request if it was
+/// served before, to the error response or the end of the connection.
+fn time_to_close(stalled_peer: StalledPeer, proxy: &ProxyProcess) -> Duration {
     let mut began = Instant::now();
     let mut peer = open(proxy, stalled_peer.served_before);
     if stalled_peer.served_before {
@@ -123,22 +125,22 @@
     began.elapsed()
 }
 
-/// Guards against peers that hold a slot for long with half a request.
+/// Guards against peers that occupy a connection slot for long with an incomplete request.
 #[test]
-fn a_peer_that_stops_in_the_middle_of_a_request_is_closed_within_3_s() {
+fn a_peer_with_an_incomplete_request_is_closed_within_3_s() {
     let run = |stalled_peer: StalledPeer| {
         let backend = Backend::start(|_| ok_response("x"));
         let (proxy, _discovery) = proxy_for(&[("a", &backend)]);
-        ended_after(stalled_peer, &proxy)
+        time_to_close(stalled_peer, &proxy)
     };
     for (case, after) in run_concurrently(&STALLED_PEERS, run) {
-        assert!(after < STALLED_PEER_END, "{after:?}: {case:?}");
+        assert!(after < STALLED_PEER_LIMIT, "{after:?}: {case:?}");
     }
 }
 
-/// Guards against peers that wait for a slot, and have their end that much later.
+/// Guards against peers whose timeouts start only once they get a connection slot.
 #[test]
-fn at_capacity_too_stalling_peers_are_closed_within_3_s() {
+fn stalled_peers_are_closed_within_3_s_at_capacity() {
     let backend = Backend::start(|_| ok_response("x"));
     let discovery = Discovery::start();
     let mut config = config(discovery.address, &[endpoint("a", backend.address, "ready", 0)]);
@@ -156,12 +158,12 @@
         let response = peer.read_response();
         assert!(response.as_ref().is_none_or(|response| response.status() >= 400), "{response:?}");
     }
-    assert!(began.elapsed() < STALLED_PEER_END, "{:?}", began.elapsed());
+    assert!(began.elapsed() < STALLED_PEER_LIMIT, "{:?}", began.elapsed());
 }
 
-/// Guards against a connection that is closed without an answer at the end of the process.
+/// Guards against an incomplete request that is not answered during shutdown.
 #[test]
-fn a_request_that_is_never_complete_is_answered_before_the_process_exits() {
+fn an_incomplete_request_is_answered_before_the_process_exits() {
     for StalledPeer { text, .. } in STALLED_PEERS.iter().filter(|peer| !peer.text.is_empty()) {
         let backend = Backend::start(|_| ok_response("x"));
         let (mut proxy, _discovery) = proxy_for(&[("a", &backend)]);
@@ -175,7 +177,7 @@
     }
 }
 
-/// Guards against a peer that sends for ever and is read for as long.
+/// Guards against a proxy that keeps reading from a peer that sends without end.
 #[test]
 fn a_peer_that_sends_60_mb_is_closed_within_6_s() {
     let backend = Backend::start(|_| ok_response("x"));
--- a/tests/proxy/support/client.rs
+++ b/tests/proxy/support/client.rs
@@ -5,7 +5,7 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// A client's connection.
+/// A client connection to the proxy.
 pub struct Client {
     stream: BufReader<TcpStream>,
 }
@@ -21,7 +21,7 @@
         Ok(Client { stream: BufReader::new(stream) })
     }
 
-    /// Sends this; a connection that is closed already is no failure.
+    /// Sends the text and ignores errors, because the proxy may have closed the connection already.
     pub fn send(&mut self, text: &str) {
         let _ = self.try_send(text);
     }
@@ -30,40 +30,41 @@
         self.stream.get_mut().write_all(text.as_bytes())
     }
 
-    /// A response that has not come after so long does not count.
+    /// Sets how long [`Client::read_response`] waits for data.
     pub fn set_read_timeout(&mut self, timeout: Duration) {
         self.stream.get_ref().set_read_timeout(Some(timeout)).unwrap();
     }
 
-    /// The next response; `None` where the connection ends before it is whole.
+    /// Reads the next response; `None` if the connection ends or times out before the response is complete.
     pub fn read_response(&mut self) -> Option<Message> {
         read_message(&mut self.stream)
     }
 
-    /// Sends no more; what was sent is still answered.
+    /// Closes the sending side of the connection; responses can still be read.
     pub fn stop_sending(&mut self) {
         let _ = self.stream.get_mut().shutdown(std::net::Shutdown::Write);
     }
 
-    /// Waits for the end of the connection; true if it comes with nothing more in it and is no reset.
-    pub fn ends_without_reset(&mut self) -> bool {
+    /// Waits until the connection is closed; returns true if no data was received before and it was not
+    /// reset.
+    pub fn closes_without_reset(&mut self) -> bool {
         matches!(self.stream.read(&mut [0]), Ok(0))
     }
 
-    /// Waits for the end of the connection; true if it comes with nothing more in it.
-    pub fn ends(&mut self) -> bool {
+    /// Waits until the connection is closed or reset; returns true if no data was received before.
+    pub fn closes(&mut self) -> bool {
         matches!(self.stream.read(&mut [0]), Ok(0) | Err(_))
     }
 }
 
-/// Sends a request on a connection of its own and returns the response.
+/// Sends a request on a new connection and returns the response.
 pub fn send_request(proxy: &ProxyProcess, text: &str) -> Message {
     let mut client = Client::open(proxy.address);
     client.send(text);
-    client.read_response().expect("a whole answer")
+    client.read_response().expect("a complete response")
 }
 
-/// Sends requests enough that the balancer has retries to spend.
+/// Sends enough requests to give the balancer a retry budget.
 pub fn warm_up(proxy: &ProxyProcess) {
     for _ in 0..10 {
         assert_eq!(send_request(proxy, &request("read", 7000)).status(), 200);
--- a/tests/proxy/support/discovery.rs
+++ b/tests/proxy/support/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery on loopback: a test decides what a call is answered with.
+//! A mock discovery service on loopback whose responses are chosen by the test.
 
 use super::{ok_response, read_message, wait_until, Reply, ReservedPort};
 use serde_json::{json, Value};
@@ -7,20 +7,21 @@
 use std::sync::{Arc, Condvar, Mutex};
 use std::time::{Duration, Instant};
 
-/// How often a call that waits looks whether the proxy has closed it.
+/// Interval at which a pending call checks whether the proxy has closed the connection.
 const CLOSE_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 #[derive(Default)]
 struct State {
-    /// The version of the last list.
+    /// Version of the last list.
     version: u64,
-    /// What is done with a call that waits, or with the next.
+    /// Reply to the pending call or, if there is none, to the next one.
     pending_reply: Option<Reply>,
-    /// How many calls had come when that was done last.
+    /// Number of calls received when the last reply was sent.
     calls_before_reply: usize,
 }
 
-/// Discovery: answers a call once a test has a reply for it, or after the call's wait, or never.
+/// A mock discovery service. A call is answered when the test provides a reply, or after the wait that the
+/// call requests. A call without a wait stays pending until then.
 #[derive(Clone)]
 pub struct Discovery {
     pub address: SocketAddr,
@@ -53,14 +54,14 @@
             let request_line = call.start_line.clone();
             self.request_lines.lock().unwrap().push(call.start_line);
             let reply = self.reply_to(&request_line, &stream);
-            if !reply.is_some_and(|reply| reply.carry_out(&mut stream)) {
+            if !reply.is_some_and(|reply| reply.write_to(&mut stream)) {
                 return;
             }
         }
     }
 
-    /// The reply of the test, or an empty delta once the call's wait is over; `None` where the proxy has
-    /// closed the connection.
+    /// Returns the reply provided by the test, or an empty delta once the call's wait is over; `None` if the
+    /// proxy has closed the connection.
     fn reply_to(&self, request_line: &str, stream: &TcpStream) -> Option<Reply> {
         let wait = query_number(request_line, "wait_ms=");
         let end = wait.map(|wait_ms| Instant::now() + Duration::from_millis(wait_ms));
@@ -82,12 +83,14 @@
         }
     }
 
-    /// Sends a list of every endpoint, and waits until the proxy has called again: it holds the list then.
+    /// Publishes a list of all endpoints and waits until the proxy has called again, after it has received
+    /// the list.
     pub fn publish_snapshot(&self, endpoints: &[Value]) {
         self.publish(true, endpoints);
     }
 
-    /// Sends the endpoints that changed, and waits until the proxy has called again: it holds them then.
+    /// Publishes the changed endpoints and waits until the proxy has called again, after it has received
+    /// them.
     pub fn publish_delta(&self, endpoints: &[Value]) {
         self.publish(false, endpoints);
     }
@@ -99,33 +102,33 @@
         self.respond_with_body(&list.to_string());
     }
 
-    /// Answers a call with this body, and waits until the proxy has called again.
+    /// Answers a call with a 200 response and waits until the proxy has called again.
     pub fn respond_with_body(&self, body: &str) {
         self.respond(ok_response(body));
     }
 
-    /// Does this with a call, and waits until the proxy has called again.
+    /// Replies to a call and waits until the proxy has called again.
     pub fn respond(&self, reply: Reply) {
         self.state.0.lock().unwrap().pending_reply = Some(reply);
         self.state.1.notify_all();
-        wait_until("the next call of discovery", || {
+        wait_until("the next call to discovery", || {
             let state = self.state.0.lock().unwrap();
             state.pending_reply.is_none() && self.call_count() > state.calls_before_reply
         });
     }
 
-    /// How many calls have come so far.
+    /// Returns the number of calls received so far.
     pub fn call_count(&self) -> usize {
         self.request_lines().len()
     }
 
-    /// The request lines of all calls so far.
+    /// Returns the request lines of all calls received so far.
     pub fn request_lines(&self) -> Vec<String> {
         self.request_lines.lock().unwrap().clone()
     }
 }
 
-/// The number that follows `key` in a request line.
+/// Returns the number that follows `key` in a request line.
 fn query_number(request_line: &str, key: &str) -> Option<u64> {
     let digits = request_line.split_once(key)?.1;
     digits.split(|character: char| !character.is_ascii_digit()).next()?.parse().ok()
--- a/tests/proxy/support/faults.c
+++ b/tests/proxy/support/faults.c
@@ -1,5 +1,5 @@
-/* Loaded into the proxy by the tests (LD_PRELOAD): system calls that fail for a moment, and another wall clock.
- * The file that FAULTS names is shared with the test, which changes it while the proxy runs. */
+/* Fault injection, loaded into the proxy by the tests with LD_PRELOAD: fails system calls at random and shifts the wall
+ * clock. The file named by FAULTS is shared with the test, which changes it while the proxy runs. */
 #define _GNU_SOURCE
 #include <dlfcn.h>
 #include <errno.h>
@@ -21,9 +21,9 @@
 };
 
 static volatile const struct faults *faults;
-static uint32_t state = 2463534242u;
+static uint32_t random_state = 2463534242u;
 
-__attribute__((constructor)) static void load(void) {
+__attribute__((constructor)) static void map_faults_file(void) {
     const char *path = getenv("FAULTS");
     int file = path ? open(path, O_RDONLY | O_CLOEXEC) : -1;
     if (file < 0) return;
@@ -32,16 +32,16 @@
     close(file);
 }
 
-static uint32_t draw(void) {
-    state ^= state << 13;
-    state ^= state >> 17;
-    state ^= state << 5;
-    return state;
+static uint32_t next_random(void) {
+    random_state ^= random_state << 13;
+    random_state ^= random_state >> 17;
+    random_state ^= random_state << 5;
+    return random_state;
 }
 
-static int fails(int64_t percent, const int *errors, size_t count) {
-    if ((int64_t)(draw() % 100) >= percent) return 0;
-    errno = errors[draw() % count];
+static int inject_failure(int64_t percent, const int *errors, size_t count) {
+    if ((int64_t)(next_random() % 100) >= percent) return 0;
+    errno = errors[next_random() % count];
     return 1;
 }
 
@@ -49,35 +49,35 @@
 
 int accept4(int fd, struct sockaddr *restrict from, socklen_t *restrict length, int flags) {
     static const int errors[] = {ECONNABORTED, ENFILE, ENOBUFS, EMFILE, EPROTO};
-    if (faults && fails(faults->accept_percent, errors, 5)) return -1;
+    if (faults && inject_failure(faults->accept_percent, errors, 5)) return -1;
     return REAL(accept4)(fd, from, length, flags);
 }
 
 int connect(int fd, const struct sockaddr *to, socklen_t length) {
     static const int errors[] = {EADDRNOTAVAIL, ENOBUFS, ENETUNREACH};
-    if (faults && fails(faults->connect_percent, errors, 3)) return -1;
+    if (faults && inject_failure(faults->connect_percent, errors, 3)) return -1;
     return REAL(connect)(fd, to, length);
 }
 
 int socket(int domain, int type, int protocol) {
     static const int errors[] = {EMFILE, ENFILE, ENOBUFS};
-    if (faults && fails(faults->connect_percent, errors, 3)) return -1;
+    if (faults && inject_failure(faults->connect_percent, errors, 3)) return -1;
     return REAL(socket)(domain, type, protocol);
 }
 
-/* The configuration file alone: nothing else that a proxy opens is named so. */
+/* Affects only the configuration file, which is the only .json file that the proxy opens. */
 int open64(const char *path, int flags, ...) {
     static const int errors[] = {EMFILE, ENFILE, ENOMEM};
     size_t length = strlen(path);
     int is_config = length > 5 && strcmp(path + length - 5, ".json") == 0;
-    if (faults && is_config && fails(faults->reload_percent, errors, 3)) return -1;
+    if (faults && is_config && inject_failure(faults->reload_percent, errors, 3)) return -1;
     return REAL(open64)(path, flags, 0600);
 }
 
 int pthread_create(pthread_t *restrict thread, const pthread_attr_t *restrict attr, void *(*run)(void *),
                    void *restrict arg) {
     static const int errors[] = {EAGAIN};
-    if (faults && fails(faults->reload_percent, errors, 1)) return EAGAIN;
+    if (faults && inject_failure(faults->reload_percent, errors, 1)) return EAGAIN;
     return REAL(pthread_create)(thread, attr, run, arg);
 }
 
--- a/tests/proxy/support/faults.rs
+++ b/tests/proxy/support/faults.rs
@@ -1,5 +1,4 @@
-//! Faults of the machine around the proxy: system calls that fail for a moment, and a wall clock that is
-//! wrong or stepped.
+//! Fault injection: system calls of the proxy that fail at random, and a wall clock that is wrong or stepped.
 
 use std::os::unix::fs::FileExt;
 use std::path::{Path, PathBuf};
@@ -7,7 +6,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::OnceLock;
 
-/// Numbers the files that proxies share with their tests.
+/// Number of fault files created so far, for unique file names.
 static FAULT_FILES: AtomicUsize = AtomicUsize::new(0);
 
 /// Offsets of the fields of `struct faults` in `faults.c`.
@@ -18,14 +17,14 @@
 /// Size of `struct faults` in bytes.
 const SIZE: usize = 32;
 
-/// What goes wrong with the system calls of one proxy, which shares this file with its test.
+/// Faults injected into one proxy, which reads them from a file shared with its test.
 pub struct Faults {
     path: PathBuf,
     file: std::fs::File,
 }
 
 impl Faults {
-    /// None so far.
+    /// Creates a fault file that injects no faults yet.
     pub fn none() -> Faults {
         let number = FAULT_FILES.fetch_add(1, Ordering::Relaxed);
         let path = std::env::temp_dir().join(format!("faults-{}-{number}", std::process::id()));
@@ -38,29 +37,29 @@
         self.file.write_all_at(&value.to_ne_bytes(), offset).unwrap();
     }
 
-    /// The wall clock shows that much more than the right time.
+    /// Sets the offset of the proxy's wall clock from the correct time.
     pub fn step_clock(&self, seconds: i64) {
         self.set(CLOCK_OFFSET, seconds * 1_000_000);
     }
 
-    /// So many in a hundred of the calls of accept fail.
+    /// Lets this percentage of accept calls fail.
     pub fn fail_accepts(&self, percent: i64) {
         self.set(ACCEPT_PERCENT, percent);
     }
 
-    /// So many in a hundred of the calls of socket and of connect fail, as resources are exhausted.
+    /// Lets this percentage of socket and connect calls fail with resource and network errors.
     pub fn fail_connects(&self, percent: i64) {
         self.set(CONNECT_PERCENT, percent);
     }
 
-    /// So many in a hundred of the starts of threads and of the reads of the configuration fail.
+    /// Lets this percentage of thread starts and of reads of the configuration file fail.
     pub fn fail_reloads(&self, percent: i64) {
         self.set(RELOAD_PERCENT, percent);
     }
 
-    /// The environment variables of a proxy that meets them.
+    /// Returns the environment variables that inject the faults into a proxy.
     pub fn environment(&self) -> [(&'static str, &Path); 2] {
-        [("FAULTS", &self.path), ("LD_PRELOAD", preloaded())]
+        [("FAULTS", &self.path), ("LD_PRELOAD", fault_library())]
     }
 }
 
@@ -70,8 +69,8 @@
     }
 }
 
-/// The library, built once for all tests of this process.
-fn preloaded() -> &'static Path {
+/// Returns the path of the fault injection library, which is built once per test process.
+fn fault_library() -> &'static Path {
     static LIBRARY: OnceLock<PathBuf> = OnceLock::new();
     LIBRARY.get_or_init(|| {
         let source = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/proxy/support/faults.c");
--- a/tests/proxy/support/http.rs
+++ b/tests/proxy/support/http.rs
@@ -1,13 +1,13 @@
-//! HTTP messages as they stand on the wire, and what a stand-in does with a request.
+//! HTTP messages on the wire, and replies of the mock servers.
 
 use std::io::{BufRead, Write};
 use std::net::TcpStream;
 use std::time::Duration;
 
-/// A request or a response.
+/// An HTTP request or response.
 #[derive(Clone, Debug, Default)]
 pub struct Message {
-    /// The request line or the status line.
+    /// Request line or status line.
     pub start_line: String,
     pub headers: Vec<Header>,
     pub body: Vec<u8>,
@@ -16,18 +16,18 @@
 /// A header of a [`Message`].
 #[derive(Clone, Debug)]
 pub struct Header {
-    /// In lower case.
+    /// Name in lower case.
     pub name: String,
     pub value: String,
 }
 
 impl Message {
-    /// The value of the first header of this name, which is in lower case.
+    /// Returns the value of the first header with this name, given in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.iter().find(|header| header.name == name).map(|header| header.value.as_str())
     }
 
-    /// The status of a response, 0 where its status line is malformed.
+    /// Returns the status of a response, or 0 if its status line is malformed.
     pub fn status(&self) -> u16 {
         self.start_line.split(' ').nth(1).and_then(|status| status.parse().ok()).unwrap_or(0)
     }
@@ -38,7 +38,8 @@
     Some(Header { name: name.to_lowercase(), value: value.trim().to_string() })
 }
 
-/// Reads one message with a Content-Length or none; `None` where the connection ends before its end.
+/// Reads one message whose body is framed by Content-Length or empty; `None` if the connection ends before
+/// the message is complete.
 pub fn read_message(reader: &mut impl BufRead) -> Option<Message> {
     let mut lines = Vec::new();
     loop {
@@ -53,34 +54,35 @@
     let start_line = lines.next()?;
     let headers = lines.filter_map(|line| parse_header(&line)).collect();
     let mut message = Message { start_line, headers, ..Message::default() };
-    let length = message.header("content-length").map_or(0, |length| length.parse().expect("a length"));
+    let length =
+        message.header("content-length").map_or(0, |length| length.parse().expect("a valid Content-Length"));
     message.body = vec![0; length];
     reader.read_exact(&mut message.body).ok()?;
     Some(message)
 }
 
-/// What a stand-in of a backend or of discovery does with a request.
+/// Reply of a mock backend or discovery service to a request.
 pub enum Reply {
-    /// Writes this and keeps the connection.
+    /// Writes the text and keeps the connection open.
     Send(String),
-    /// Writes this and closes the connection.
+    /// Writes the text and closes the connection.
     SendAndClose(String),
-    /// Writes this and resets the connection.
+    /// Writes the text and resets the connection.
     SendAndReset(String),
-    /// Writes nothing; the connection stays open.
+    /// Writes nothing and keeps the connection open.
     NoResponse,
 }
 
 /// How a connection ends.
 enum ConnectionEnd {
     Close,
-    /// As soon as nobody holds the socket any more.
+    /// The reset is sent when the last handle of the socket is dropped.
     Reset,
 }
 
 impl Reply {
-    /// Does it on a connection; false where that is closed then.
-    pub fn carry_out(self, stream: &mut TcpStream) -> bool {
+    /// Writes the reply to a connection; returns false if the connection is then closed.
+    pub fn write_to(self, stream: &mut TcpStream) -> bool {
         let (text, end) = match self {
             Reply::Send(text) => (text, None),
             Reply::SendAndClose(text) => (text, Some(ConnectionEnd::Close)),
@@ -99,12 +101,12 @@
     }
 }
 
-/// A response 200 with this body.
+/// Returns a 200 response with this body.
 pub fn ok_response(body: &str) -> Reply {
     Reply::Send(format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()))
 }
 
-/// A request of one of the classes in [`settings`](super::settings).
+/// Returns a request of one of the classes in [`settings`](super::settings).
 pub fn request(class: &str, time_left_ms: u64) -> String {
     let (method, more_headers) = match class {
         "read" => ("GET", ""),
--- a/tests/proxy/support/mod.rs
+++ b/tests/proxy/support/mod.rs
@@ -1,4 +1,5 @@
-//! What the tests share: the proxy as a process, and clients, backends and a discovery on loopback.
+//! Shared test support: the proxy as a child process, and clients, mock backends and a mock discovery service
+//! on loopback.
 
 mod backend;
 mod client;
--- a/tests/proxy/support/proxy_process.rs
+++ b/tests/proxy/support/proxy_process.rs
@@ -1,4 +1,4 @@
-//! The built proxy as a child process.
+//! The proxy binary as a child process.
 
 use super::{config, endpoint, refusing_address, wait_until, Backend, Client, Discovery, Faults};
 use serde_json::Value;
@@ -10,10 +10,10 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Numbers the configuration files.
+/// Number of configuration files created so far, for unique file names.
 static CONFIG_FILES: AtomicUsize = AtomicUsize::new(0);
 
-/// A running proxy; it is killed with its test.
+/// A running proxy, killed when dropped.
 pub struct ProxyProcess {
     child: Child,
     pub address: SocketAddr,
@@ -21,40 +21,40 @@
     log: Arc<Mutex<String>>,
 }
 
-/// On what machine a proxy is started.
+/// Environment in which a proxy is started.
 #[derive(Default)]
 struct Environment<'a> {
     faults: Option<&'a Faults>,
-    /// The system's own limit on descriptors, which the configuration does not mention.
+    /// Descriptor limit set with `ulimit`, independent of the limit in the configuration.
     descriptor_limit: Option<u32>,
 }
 
 impl ProxyProcess {
-    /// Starts a proxy and waits until it says that it is ready.
+    /// Starts a proxy and waits until its readiness probe succeeds.
     pub fn start(config: &Value) -> ProxyProcess {
         let proxy = ProxyProcess::spawn(config);
         wait_until("ready", || proxy.readiness_status() == 200);
         proxy
     }
 
-    /// Starts a proxy and waits until it listens, on a port that the system gave it.
+    /// Starts a proxy and waits until it listens, on a port assigned by the operating system.
     pub fn spawn(config: &Value) -> ProxyProcess {
         ProxyProcess::launch(config).wait_for_listener()
     }
 
-    /// The same with the system's own limit on descriptors.
+    /// Like [`ProxyProcess::spawn`], with a descriptor limit of the operating system.
     pub fn spawn_with_descriptor_limit(config: &Value, limit: u32) -> ProxyProcess {
         let environment = Environment { descriptor_limit: Some(limit), ..Environment::default() };
         ProxyProcess::launch_in(environment, config).wait_for_listener()
     }
 
-    /// The same on a machine with these faults.
+    /// Like [`ProxyProcess::spawn`], with injected faults.
     pub fn spawn_with_faults(faults: &Faults, config: &Value) -> ProxyProcess {
         let environment = Environment { faults: Some(faults), ..Environment::default() };
         ProxyProcess::launch_in(environment, config).wait_for_listener()
     }
 
-    /// Starts a proxy that need not come so far as to listen; its address is not known.
+    /// Starts a proxy without waiting until it listens; its address is unknown.
     pub fn launch(config: &Value) -> ProxyProcess {
         ProxyProcess::launch_in(Environment::default(), config)
     }
@@ -78,7 +78,7 @@
     }
 
     fn wait_for_listener(mut self) -> ProxyProcess {
-        wait_until("the line with its address", || {
+        wait_until("the log line with the listening address", || {
             let log = self.log();
             let address = log.lines().find_map(|line| line.split_once("listening on ")?.1.parse().ok());
             address.map(|address| self.address = address).is_some()
@@ -86,24 +86,24 @@
         self
     }
 
-    /// The status of its readiness, 0 if it does not answer.
+    /// Returns the status of the readiness probe, or 0 if there is no response.
     pub fn readiness_status(&self) -> u16 {
         let Ok(mut client) = Client::try_open(self.address) else { return 0 };
         client.send("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n");
         client.read_response().map_or(0, |response| response.status())
     }
 
-    /// All that it has logged so far.
+    /// Returns the log so far.
     pub fn log(&self) -> String {
         self.log.lock().unwrap().clone()
     }
 
-    /// How often this text stands in the log so far.
+    /// Returns how often the text occurs in the log so far.
     pub fn count_in_log(&self, text: &str) -> usize {
         self.log().matches(text).count()
     }
 
-    /// The memory that the process holds, in KiB.
+    /// Returns the resident memory of the process, in KiB.
     pub fn memory_kib(&self) -> u64 {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).unwrap();
         let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:")).unwrap();
@@ -115,20 +115,20 @@
         self.signal("-TERM");
     }
 
-    /// Sends a signal, named as an option of `kill`.
+    /// Sends a signal, given as an option of `kill`, for example `-HUP`.
     pub fn signal(&self, signal: &str) {
         let pid = self.child.id().to_string();
         assert!(Command::new("kill").args([signal, &pid]).status().unwrap().success());
     }
 
-    /// Ends it at once, if it has not ended.
+    /// Kills the process if it has not exited.
     pub fn kill(&self) {
         let pid = self.child.id().to_string();
         let _ = Command::new("kill").args(["-KILL", &pid]).stderr(Stdio::null()).status();
     }
 
-    /// Stops the process for so long, as a busy machine might. Returns how long it may have been stopped: on
-    /// a loaded machine that is longer.
+    /// Stops the process for `duration`, to simulate a stall, and runs `meanwhile` during that time. Returns
+    /// how long the process may have been stopped, which is longer on a loaded machine.
     pub fn stall(&self, duration: Duration, meanwhile: impl FnOnce()) -> Duration {
         let began = Instant::now();
         self.signal("-STOP");
@@ -138,7 +138,7 @@
         began.elapsed()
     }
 
-    /// Replaces the configuration file, whole at once, and sends SIGHUP.
+    /// Replaces the configuration file atomically and sends SIGHUP.
     pub fn reload(&self, text: &str) {
         let next = self.config_file.with_extension("next");
         std::fs::write(&next, text).unwrap();
@@ -146,10 +146,10 @@
         self.signal("-HUP");
     }
 
-    /// Waits for the end of the process.
+    /// Waits until the process exits.
     pub fn wait_for_exit(&mut self) -> ExitStatus {
         let mut status = None;
-        wait_until("the end of the process", || {
+        wait_until("the proxy to exit", || {
             status = self.child.try_wait().unwrap();
             status.is_some()
         });
@@ -170,7 +170,7 @@
     std::env::temp_dir().join(format!("load-balancer-proxy-{}-{number}.json", std::process::id()))
 }
 
-/// Reads the log of a process as it comes.
+/// Collects the log of a process in a background thread.
 fn collect_log(stderr: ChildStderr) -> Arc<Mutex<String>> {
     let log = Arc::<Mutex<String>>::default();
     let collected = log.clone();
@@ -184,7 +184,7 @@
     log
 }
 
-/// A proxy whose cached list holds these backends, by name, and its discovery.
+/// Starts a proxy whose cached list contains these backends, by name; returns it with its discovery service.
 pub fn proxy_for(backends: &[(&str, &Backend)]) -> (ProxyProcess, Discovery) {
     let discovery = Discovery::start();
     let endpoint_of = |(name, backend): &(&str, &Backend)| endpoint(name, backend.address, "ready", 0);
--- a/tests/proxy/support/reserved_port.rs
+++ b/tests/proxy/support/reserved_port.rs
@@ -1,12 +1,13 @@
-//! A port that a test has to itself and on which nobody listens yet.
+//! Ports that are reserved for a test before anything listens on them.
 
 use std::net::{SocketAddr, TcpListener};
 use std::sync::OnceLock;
 
-/// Connections that a stand-in leaves to the system before it accepts them.
-const LISTEN_QUEUE: i32 = 128;
+/// Maximum number of connections that are queued until they are accepted.
+const LISTEN_BACKLOG: i32 = 128;
 
-/// A port that refuses connections: bound, so that nobody else is given it, and not listening yet.
+/// A port that is bound, so that no other process can get it, and refuses connections until
+/// [`ReservedPort::listen`].
 pub struct ReservedPort {
     socket: socket2::Socket,
     pub address: SocketAddr,
@@ -20,14 +21,14 @@
         ReservedPort { socket, address }
     }
 
-    /// Takes connections from now on.
+    /// Starts listening on the port.
     pub fn listen(self) -> TcpListener {
-        self.socket.listen(LISTEN_QUEUE).unwrap();
+        self.socket.listen(LISTEN_BACKLOG).unwrap();
         self.socket.into()
     }
 }
 
-/// An address at which nobody listens while the tests run.
+/// Returns an address that refuses connections while the tests run.
 pub fn refusing_address() -> SocketAddr {
     static REFUSING: OnceLock<ReservedPort> = OnceLock::new();
     REFUSING.get_or_init(ReservedPort::bind).address
--- a/tests/proxy/support/settings.rs
+++ b/tests/proxy/support/settings.rs
@@ -1,24 +1,24 @@
-//! Configurations and endpoint lists for the proxy.
+//! Configurations and endpoint lists of the proxy.
 
 use super::{Backend, Discovery};
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 
-/// An endpoint of the list; 0 ms for a backend that started long ago.
+/// Returns an entry of the endpoint list; `started_at_ms` is 0 for a backend that started long ago.
 pub fn endpoint(name: &str, address: SocketAddr, status: &str, started_at_ms: u64) -> Value {
     json!({"name": name, "address": address.to_string(), "zone": "east", "type": "m1", "group": 1,
            "status": status, "weight": 1.0, "since_ms": started_at_ms})
 }
 
-/// Endpoints `s0`, `s1` and so on, ready, for these backends.
+/// Returns ready endpoints named `s0`, `s1` and so on for these backends.
 pub fn ready_endpoints<'a>(backends: impl Iterator<Item = &'a Backend>) -> Vec<Value> {
     let endpoint_of =
         |(number, backend): (usize, &Backend)| endpoint(&format!("s{number}"), backend.address, "ready", 0);
     backends.enumerate().map(endpoint_of).collect()
 }
 
-/// The settings of the tests: one proxy, two zones, and the classes `read` (idempotent), `vote` (keyed) and
-/// `pay` (not idempotent).
+/// Returns the settings of the tests: one proxy, two zones, and the classes `read` (idempotent), `vote`
+/// (keyed) and `pay` (not idempotent).
 pub fn settings() -> Value {
     let class = |name: &str, effect: &str| {
         json!({"name": name, "effect": effect, "key_scope": "zone", "window_us": 1_200_000, "aim_us": 5_000_000,
@@ -44,7 +44,7 @@
     })
 }
 
-/// A whole configuration with these endpoints as its cached list.
+/// Returns a complete configuration with these endpoints as its cached list.
 pub fn config(discovery: SocketAddr, cached: &[Value]) -> Value {
     json!({
         "name": "n1", "listen": "127.0.0.1:0", "discovery": discovery.to_string(),
@@ -53,14 +53,14 @@
     })
 }
 
-/// The same configuration with another value at one place.
+/// Returns the configuration with another value at the JSON pointer.
 pub fn with_value(config: &Value, pointer: &str, value: Value) -> Value {
     let mut config = config.clone();
     *config.pointer_mut(pointer).unwrap() = value;
     config
 }
 
-/// The configuration of a proxy that waits long for a connection to come up.
+/// Returns a configuration with a connect timeout of 20 s.
 pub fn config_with_long_connect_timeout(discovery: &Discovery, endpoints: &[Value]) -> Value {
     with_value(&config(discovery.address, endpoints), "/settings/limits/dial_timeout_us", json!(20_000_000))
 }
--- a/tests/proxy/support/slow_accept_backend.rs
+++ b/tests/proxy/support/slow_accept_backend.rs
@@ -1,10 +1,11 @@
-//! A backend whose connections come up late.
+//! A backend whose connections are established late.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::Duration;
 
-/// Connections wait in a full queue until its listener accepts.
+/// A backend with a full listen queue, so that connections are not established until
+/// [`SlowAcceptBackend::accept`].
 pub struct SlowAcceptBackend {
     listener: TcpListener,
     pub address: SocketAddr,
@@ -12,7 +13,7 @@
 }
 
 impl SlowAcceptBackend {
-    /// Listens, and fills its queue with connections of its own.
+    /// Starts listening and fills the listen queue with connections.
     pub fn start() -> SlowAcceptBackend {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
@@ -22,7 +23,8 @@
         SlowAcceptBackend { listener, address, queued }
     }
 
-    /// Lets the connections come up; the function that it returns gives how many bytes came on all of them.
+    /// Starts accepting connections. The returned function returns how many bytes were received on all of
+    /// them.
     pub fn accept(self) -> impl FnOnce() -> usize {
         let SlowAcceptBackend { listener, address, queued } = self;
         drop(queued);
--- a/tests/proxy/support/waiting.rs
+++ b/tests/proxy/support/waiting.rs
@@ -1,18 +1,18 @@
-//! Waiting for what another thread or process does.
+//! Waits for conditions that another thread or process fulfils.
 
 use std::time::{Duration, Instant};
 
-/// Far longer than anything here takes; only a failure waits so long.
+/// Time after which a condition that does not hold is a failure; much longer than any test needs.
 pub const FAILURE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Between two looks at a condition.
+/// Time between two checks of a condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Waits until a condition holds; panics after [`FAILURE_TIMEOUT`].
-pub fn wait_until(description: &str, mut holds: impl FnMut() -> bool) {
+pub fn wait_until(description: &str, mut condition: impl FnMut() -> bool) {
     let end = Instant::now() + FAILURE_TIMEOUT;
-    while !holds() {
-        assert!(Instant::now() < end, "never came: {description}");
+    while !condition() {
+        assert!(Instant::now() < end, "timed out waiting for: {description}");
         std::thread::sleep(POLL_INTERVAL);
     }
 }
--- a/tests/proxy/wall_clock.rs
+++ b/tests/proxy/wall_clock.rs
@@ -1,4 +1,5 @@
-//! The wall clock may be wrong at the start and stepped at any time: spans of time stay right.
+//! The wall clock may be wrong at startup: the ages of backends, and with them slow start, must still be
+//! correct.
 
 use crate::support::{
     config, endpoint, ok_response, request, wait_until, with_value, Backend, Client, Discovery, Faults,
@@ -9,12 +10,12 @@
 
 const HOUR: i64 = 3600;
 
-/// Unix milliseconds of so long ago, by the right clock.
+/// Returns the Unix time in milliseconds of `ago` before now, by the correct clock.
 fn unix_ms_before_now(ago: Duration) -> u64 {
     (SystemTime::now().duration_since(UNIX_EPOCH).unwrap() - ago).as_millis() as u64
 }
 
-/// The share of the requests of two seconds that goes to a backend.
+/// Sends requests for two seconds and returns the fraction of them that the backend received.
 fn share_sent_to(proxy: &ProxyProcess, backend: &Backend) -> f64 {
     let (began, before) = (Instant::now(), backend.requests().len());
     let mut sent = 0;
@@ -28,7 +29,7 @@
     (backend.requests().len() - before) as f64 / f64::from(sent)
 }
 
-/// Three warm backends, and one that has just started.
+/// Three warm backends, and one in slow start.
 struct Fleet {
     warm: Vec<Backend>,
     warming: Backend,
@@ -59,15 +60,16 @@
     }
 }
 
-/// An even share is a quarter; with the right clock a warming backend gets about one in forty.
-const WARMING_SHARE_LIMIT: f64 = 0.1;
+/// Upper bound of the share of a backend in slow start. An even share is a quarter; with a correct clock, a
+/// backend in slow start gets about one request in forty.
+const SLOW_START_SHARE_LIMIT: f64 = 0.1;
 
-/// The offsets of a clock that is right, a little wrong and much.
+/// Offsets in seconds of a clock that is correct, slightly wrong or very wrong.
 const OFFSETS: [i64; 5] = [0, 15, -15, HOUR, -HOUR];
 
-/// Guards against an even share from the first moment where the proxy's clock is ahead.
+/// Guards against a new backend that skips slow start because the proxy's clock is wrong.
 #[test]
-fn a_backend_that_joins_is_warming_up_whatever_the_wall_clock_says() {
+fn a_new_backend_gets_slow_start_whatever_the_wall_clock_says() {
     for is_snapshot in [false, true] {
         for offset in OFFSETS {
             let (fleet, faults) = (Fleet::start(), Faults::none());
@@ -83,16 +85,20 @@
                 fleet.discovery.publish_delta(&endpoints);
             }
             let share = share_sent_to(&proxy, &fleet.warming);
-            assert!(share < WARMING_SHARE_LIMIT, "{share}, clock off by {offset} s, snapshot: {is_snapshot}");
+            assert!(
+                share < SLOW_START_SHARE_LIMIT,
+                "{share}, clock off by {offset} s, snapshot: {is_snapshot}"
+            );
         }
     }
 }
 
-/// Guards against a cached list that lacks the warming backend, names it, or names its process before.
+/// Guards against a backend that skips slow start because the cached list lacks it, contains it, or contains
+/// its previous process.
 #[test]
-fn a_backend_that_started_around_the_restart_of_its_proxy_is_warming_up() {
+fn a_backend_started_around_the_proxy_restart_gets_slow_start() {
     for offset in OFFSETS {
-        for cached in ["lacking", "named", "its process before"] {
+        for cached in ["lacking", "contained", "previous process"] {
             let (fleet, faults) = (Fleet::start(), Faults::none());
             faults.step_clock(offset);
             let started = unix_ms_before_now(Duration::from_millis(500));
@@ -100,18 +106,18 @@
             endpoints.push(fleet.warming_endpoint(started));
             let cached_endpoints = match cached {
                 "lacking" => fleet.warm_endpoints(0),
-                "named" => endpoints.clone(),
+                "contained" => endpoints.clone(),
                 _ => [fleet.warm_endpoints(0), vec![fleet.warming_endpoint(1)]].concat(),
             };
             let proxy = ProxyProcess::spawn_with_faults(&faults, &fleet.config(&cached_endpoints));
             fleet.discovery.publish_snapshot(&endpoints);
             let share = share_sent_to(&proxy, &fleet.warming);
-            assert!(share < WARMING_SHARE_LIMIT, "{share}, clock off by {offset} s, cached: {cached}");
+            assert!(share < SLOW_START_SHARE_LIMIT, "{share}, clock off by {offset} s, cached: {cached}");
         }
     }
 }
 
-/// Guards against a start in the future by the proxy's clock that passes for a recent one.
+/// Guards against a start time in the future of the proxy's clock that counts as recent.
 #[test]
 fn a_backend_that_started_long_ago_is_warm_whatever_the_wall_clock_says() {
     for offset in OFFSETS {
@@ -123,6 +129,6 @@
         wait_until("ready", || proxy.readiness_status() == 200);
         let share = share_sent_to(&proxy, &fleet.warming);
         let rejected = proxy.count_in_log("request ended outcome=rejected ");
-        assert!(rejected < 10, "{rejected} rejected, {share} to the last started, clock off by {offset} s");
+        assert!(rejected < 10, "{rejected} rejected, {share} to the newest backend, clock off by {offset} s");
     }
 }
