--- a/tests/proxy/client_disconnects.rs
+++ b/tests/proxy/client_disconnects.rs
@@ -171,7 +171,7 @@
         let slow_address = format!("address={}", slow_backend.address);
         let is_dispatch = |line: &&str| line.contains("attempt dispatched ") && line.contains(&slow_address);
         wait_until("all requests to be received", || proxy.count_in_log("request received ") == 3 * CLIENTS);
-        wait_until("two slow attempts", || proxy.log().lines().filter(is_dispatch).count() >= 2);
+        wait_until("two connecting attempts", || proxy.log().lines().filter(is_dispatch).count() >= 2);
         if is_shutting_down {
             proxy.terminate();
         }
--- a/tests/proxy/discovery_lists.rs
+++ b/tests/proxy/discovery_lists.rs
@@ -196,7 +196,7 @@
 
 /// Guards against memory that grows with every backend and kind ever listed.
 #[test]
-fn memory_stays_flat_while_backends_and_kinds_come_and_go() {
+fn memory_does_not_grow_as_backends_and_kinds_are_replaced() {
     const RELEASES: usize = 1500;
     let backend = Backend::start(|_| ok_response("x"));
     let (proxy, discovery) = proxy_for(&[("a", &backend)]);
--- a/tests/proxy/discovery_recovery.rs
+++ b/tests/proxy/discovery_recovery.rs
@@ -20,8 +20,8 @@
 enum Fault {
     /// Answers 503.
     Unavailable,
-    /// Closes the connection.
-    Reset,
+    /// Closes the connection without an answer.
+    ConnectionClosed,
     /// Accepts the call and never answers.
     Unresponsive,
     /// Refuses the connection.
@@ -112,7 +112,7 @@
 fn a_proxy_has_the_list_within_6_s_of_the_recovery() {
     let faults = [
         Fault::Unavailable,
-        Fault::Reset,
+        Fault::ConnectionClosed,
         Fault::Unresponsive,
         Fault::ConnectionRefused,
         Fault::ConnectTimeout,
@@ -134,7 +134,7 @@
 
 /// Time that an overloaded service takes for one call.
 const CALL_DURATION: Duration = Duration::from_millis(60);
-/// Number of calls in progress or queued at which an overloaded service rejects further ones.
+/// Number of calls, in progress or queued, at which an overloaded service rejects further ones.
 const QUEUE_CAPACITY: usize = 8;
 
 /// A discovery service with too many callers that handles calls one at a time.
--- a/tests/proxy/graceful_shutdown.rs
+++ b/tests/proxy/graceful_shutdown.rs
@@ -33,7 +33,7 @@
 
 /// Guards against requests that are still unanswered at SIGKILL, 3.7 s after SIGTERM.
 #[test]
-fn every_request_is_answered_between_sigterm_and_sigkill() {
+fn every_pending_request_is_answered_before_sigkill() {
     let backend = Backend::start(|_| Reply::NoResponse);
     let discovery = Discovery::start();
     let hanging_backend = config(discovery.address, &[endpoint("a", backend.address, "ready", 0)]);
--- a/tests/proxy/logging.rs
+++ b/tests/proxy/logging.rs
@@ -30,8 +30,8 @@
     wait_until("the end of the request", || {
         lines("33cc").iter().any(|line| line.contains("request ended outcome=client_disconnected "))
     });
-    // The time left exceeds a quarter of the latency objective: with less, a request of a class without any
-    // answers yet may be abandoned.
+    // The time left exceeds a quarter of the latency objective, which is the latency that the balancer
+    // assumes for a class without any samples: a request with less time left may be abandoned.
     let cases = [("read", 7000, 200, "11aa", "served"), ("pay", 2000, 502, "22bb", "failed")];
     for (class, time_left_ms, status, id, outcome) in cases {
         assert_eq!(status_of(class, time_left_ms, id), status, "{class}");
--- a/tests/proxy/malformed_requests.rs
+++ b/tests/proxy/malformed_requests.rs
@@ -75,7 +75,7 @@
 /// Guards against pipelined requests that are answered out of order, and an incomplete request that is
 /// forwarded.
 #[test]
-fn pipelined_requests_are_answered_in_order_and_a_truncated_one_is_not_forwarded() {
+fn pipelined_requests_are_answered_in_order_and_truncated_ones_rejected() {
     let backend = Backend::start(|message| {
         ok_response(if message.start_line.contains("/vote/") { "vote" } else { "read" })
     });
--- a/tests/proxy/reload/large_files.rs
+++ b/tests/proxy/reload/large_files.rs
@@ -127,7 +127,7 @@
 
 /// Guards against memory leaks of replaced configurations.
 #[test]
-fn memory_stays_flat_while_files_are_replaced() {
+fn memory_does_not_grow_with_reloads() {
     let backend = Backend::start(|_| ok_response("x"));
     let ReloadableProxy { proxy, config, .. } = start_reloadable_proxy(&[&backend]);
     let texts = [large_config(&config, 1_500, 5_000), large_config(&config, 1_400, 4_900)];
--- a/tests/proxy/reload/requests_in_flight.rs
+++ b/tests/proxy/reload/requests_in_flight.rs
@@ -75,7 +75,7 @@
 
 /// Guards against a request that is handled under classes that were replaced before its body arrived.
 #[test]
-fn a_request_whose_body_arrives_after_a_reload_uses_the_new_classes() {
+fn a_request_completed_after_a_reload_uses_the_new_classes() {
     let backend = Backend::start(|_| ok_response("x"));
     let ReloadableProxy { proxy, mut config, .. } = start_reloadable_proxy(&[&backend]);
     let pay = request("pay", 7000);
--- a/tests/proxy/support/client.rs
+++ b/tests/proxy/support/client.rs
@@ -51,7 +51,8 @@
         matches!(self.stream.read(&mut [0]), Ok(0))
     }
 
-    /// Waits until the connection is closed or reset; returns true if no data was received before.
+    /// Waits until the connection is closed or reset, or the read times out; returns true if no data was
+    /// received.
     pub fn closes(&mut self) -> bool {
         matches!(self.stream.read(&mut [0]), Ok(0) | Err(_))
     }
--- a/tests/proxy/wall_clock.rs
+++ b/tests/proxy/wall_clock.rs
@@ -117,9 +117,10 @@
     }
 }
 
-/// Guards against a start time in the future of the proxy's clock that counts as recent.
+/// Guards against a long-running backend that is treated as new because its start time is in the future by
+/// the proxy's clock.
 #[test]
-fn a_backend_that_started_long_ago_is_warm_whatever_the_wall_clock_says() {
+fn a_long_running_backend_is_warm_whatever_the_wall_clock_says() {
     for offset in OFFSETS {
         let (fleet, faults) = (Fleet::start(), Faults::none());
         faults.step_clock(offset);
