--- a/scale/src/backends/fleet.rs
+++ b/scale/src/backends/fleet.rs
@@ -16,7 +16,7 @@
 
 /// What becomes of a request that reaches a backend.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Reception {
+pub enum BackendResponse {
     /// It is served after this time.
     Served(Duration),
     /// The backend drains or has left: the request is rejected unexecuted.
@@ -36,7 +36,7 @@
 
 impl BackendBehavior {
     /// The behavior of the backends of a point.
-    pub fn of(point: &Point) -> BackendBehavior {
+    pub fn for_point(point: &Point) -> BackendBehavior {
         BackendBehavior {
             mean_service_time: Duration::from_secs_f64(point.service_ms / 1e3),
             capacity_per_s: point.capacity_per_s,
@@ -55,10 +55,10 @@
     /// Those rejected.
     pub rejected: u64,
     /// Those that reached a draining backend later than allowed.
-    pub late: u64,
+    pub late_requests: u64,
     /// The most requests that reached a warming backend inside its overload window, as a fraction of its
     /// limit.
-    pub warming_peak_of_limit: f64,
+    pub slow_start_peak_ratio: f64,
 }
 
 /// All backends of a point.
@@ -119,26 +119,28 @@
     }
 
     /// Counts a request that has reached a backend, and says what becomes of it.
-    pub fn request_arrived(&self, backend: usize, now: Instant) -> Reception {
+    pub fn request_arrived(&self, backend: usize, now: Instant) -> BackendResponse {
         self.lock().request_arrived(&self.behavior, backend, now)
     }
 }
 
 impl State {
-    fn request_arrived(&mut self, behavior: &BackendBehavior, backend: usize, now: Instant) -> Reception {
+    fn request_arrived(
+        &mut self, behavior: &BackendBehavior, backend: usize, now: Instant,
+    ) -> BackendResponse {
         let (backend, counters) = (&mut self.backends[backend], &mut self.counters);
         let peak = backend.record_arrival(now, behavior.capacity_per_s);
         counters.requests += 1;
-        counters.warming_peak_of_limit = counters.warming_peak_of_limit.max(peak);
+        counters.slow_start_peak_ratio = counters.slow_start_peak_ratio.max(peak);
         if let Some(since) = backend.draining_since {
             let is_late = now.saturating_duration_since(since) > STOP_SENDING + behavior.drain_slack;
             counters.rejected += 1;
-            counters.late += u64::from(is_late);
-            return Reception::Rejected;
+            counters.late_requests += u64::from(is_late);
+            return BackendResponse::Rejected;
         }
         // From half to three halves of the mean.
-        let factor = 0.5 + self.random.unit_inclusive();
-        Reception::Served(behavior.mean_service_time.mul_f64(factor))
+        let factor = 0.5 + self.random.uniform_inclusive();
+        BackendResponse::Served(behavior.mean_service_time.mul_f64(factor))
     }
 }
 
@@ -159,14 +161,14 @@
         }
         self.recent_arrivals.push_back(now);
         let middle_of_window = age.saturating_sub(OVERLOAD_WINDOW / 2);
-        self.recent_arrivals.len() as f64 / warming_limit(middle_of_window, capacity_per_s)
+        self.recent_arrivals.len() as f64 / slow_start_limit(middle_of_window, capacity_per_s)
     }
 }
 
 /// The most requests that may reach a warming backend inside an overload window around this age: what it can
 /// bear, n, and an allowance for the spread of random arrivals, 2 sqrt(n) + 2. The platform's rule, written
 /// independently of the balancer's own on purpose.
-pub fn warming_limit(age: Duration, capacity_per_s: f64) -> f64 {
+pub fn slow_start_limit(age: Duration, capacity_per_s: f64) -> f64 {
     let progress = (age.as_secs_f64() * 1e6 / SLOW_START_US as f64).min(1.0);
     let capacity_fraction = SLOW_START_INITIAL_FRACTION + (1.0 - SLOW_START_INITIAL_FRACTION) * progress;
     let bearable = OVERLOAD_MULTIPLE * capacity_fraction * capacity_per_s * OVERLOAD_WINDOW_US as f64 / 1e6;
--- a/scale/src/backends/mod.rs
+++ b/scale/src/backends/mod.rs
@@ -4,5 +4,5 @@
 mod results;
 mod server;
 
-pub use fleet::{warming_limit, BackendBehavior, BackendCounters, BackendFleet, Reception};
+pub use fleet::{slow_start_limit, BackendBehavior, BackendCounters, BackendFleet, BackendResponse};
 pub use server::{listen, serve, BackendListeners, ListenError};
--- a/scale/src/backends/results.rs
+++ b/scale/src/backends/results.rs
@@ -8,8 +8,8 @@
     pub fn figures(&self) -> [Figure; 3] {
         [
             Figure::count("sent_to_draining", self.rejected),
-            Figure::count("sent_to_draining_late", self.late),
-            Figure::new("cold_sum_of_limit", Some(self.warming_peak_of_limit)),
+            Figure::count("sent_to_draining_late", self.late_requests),
+            Figure::new("cold_sum_of_limit", Some(self.slow_start_peak_ratio)),
         ]
     }
 
@@ -17,8 +17,8 @@
     pub fn drain_check(&self) -> Check {
         Check {
             name: "nothing reaches a draining backend past the limit and the slack",
-            holds: self.late == 0,
-            seen: format!("{} late of {} while draining", self.late, self.rejected),
+            passed: self.late_requests == 0,
+            observed: format!("{} late of {} while draining", self.late_requests, self.rejected),
         }
     }
 }
--- a/scale/src/backends/server.rs
+++ b/scale/src/backends/server.rs
@@ -1,6 +1,6 @@
 //! The HTTP servers of the backends, for proxies that are processes.
 
-use super::fleet::{BackendFleet, Reception};
+use super::fleet::{BackendFleet, BackendResponse};
 use crate::local_runtime::{spawn_local_runtime, ThreadError};
 use crate::naming::backend_address;
 use bytes::Bytes;
@@ -78,22 +78,22 @@
 pub fn serve(
     fleet: &Arc<BackendFleet>, listeners: BackendListeners, shutdown: &watch::Receiver<()>,
 ) -> Result<(), ThreadError> {
-    let mut shares: Vec<Vec<BackendListener>> = Vec::new();
-    shares.resize_with(THREADS, Vec::new);
+    let mut listeners_by_thread: Vec<Vec<BackendListener>> = Vec::new();
+    listeners_by_thread.resize_with(THREADS, Vec::new);
     for (backend, listener) in listeners.listeners.into_iter().enumerate() {
-        shares[backend % THREADS].push(BackendListener { backend, listener });
+        listeners_by_thread[backend % THREADS].push(BackendListener { backend, listener });
     }
-    for share in shares {
+    for thread_listeners in listeners_by_thread {
         let (fleet, shutdown) = (fleet.clone(), shutdown.clone());
-        spawn_local_runtime("backends", move || serve_share(fleet, share, shutdown))?;
+        spawn_local_runtime("backends", move || serve_listeners(fleet, thread_listeners, shutdown))?;
     }
     Ok(())
 }
 
-async fn serve_share(
-    fleet: Arc<BackendFleet>, share: Vec<BackendListener>, mut shutdown: watch::Receiver<()>,
+async fn serve_listeners(
+    fleet: Arc<BackendFleet>, thread_listeners: Vec<BackendListener>, mut shutdown: watch::Receiver<()>,
 ) {
-    for BackendListener { backend, listener } in share {
+    for BackendListener { backend, listener } in thread_listeners {
         tokio::task::spawn_local(accept_connections(fleet.clone(), backend, listener));
     }
     while shutdown.changed().await.is_ok() {}
@@ -133,12 +133,12 @@
     Limited::new(request.into_body(), MAX_BODY_BYTES).collect().await.map_err(BodyError)?;
     let arrived_at = Instant::now();
     match fleet.request_arrived(backend, arrived_at) {
-        Reception::Served(service_time) => {
+        BackendResponse::Served(service_time) => {
             tokio::time::sleep(service_time).await;
             let taken_us = arrived_at.elapsed().as_micros().to_string();
             Ok(Response::new(Full::new(Bytes::from(taken_us))))
         }
-        Reception::Rejected => Ok(rejection()),
+        BackendResponse::Rejected => Ok(rejection()),
     }
 }
 
--- a/scale/src/balancer_point/host.rs
+++ b/scale/src/balancer_point/host.rs
@@ -13,7 +13,7 @@
 use std::time::Instant;
 
 /// Where the clock begins.
-const START: Time = Time(1_000_000_000);
+const START_TIME: Time = Time(1_000_000_000);
 
 /// A request that is not over.
 #[derive(Default)]
@@ -55,7 +55,7 @@
         Ok(Host {
             tick: config.tick,
             balancer: Balancer::new(config, seed)?,
-            now: START,
+            now: START_TIME,
             random: Random::new(seed),
             rate_per_s: point.rate_per_s,
             deadline: Micros(point.deadline_ms * 1_000),
@@ -71,7 +71,7 @@
     }
 
     /// The real time that some work takes, in microseconds.
-    pub fn time_us(&mut self, work: impl FnOnce(&mut Host)) -> f64 {
+    pub fn measure_us(&mut self, work: impl FnOnce(&mut Host)) -> f64 {
         let start = Instant::now();
         work(self);
         start.elapsed().as_secs_f64() * 1e6
@@ -82,15 +82,15 @@
         let mut actions = std::mem::take(&mut self.actions);
         self.balancer.handle(self.now, event, &mut actions);
         for action in actions.drain(..) {
-            self.carry_out(action);
+            self.execute(action);
         }
         self.actions = actions;
     }
 
-    fn carry_out(&mut self, action: Action) {
+    fn execute(&mut self, action: Action) {
         match action {
             Action::Dispatch { request, .. } => self.dispatch(request),
-            Action::Reject { request } | Action::Fail { request } => self.answered(request),
+            Action::Reject { request } | Action::Fail { request } => self.mark_answered(request),
             Action::SetTimer { token, delay } => self.timers.set(self.now + delay.max(self.tick), token),
             Action::CancelAttempt { .. } | Action::Resubscribe | Action::Log(_) => {}
         }
@@ -135,7 +135,7 @@
     }
 
     fn dispatch(&mut self, request: RequestId) {
-        let service_time = self.mean_service_time.times(0.5 + self.random.unit());
+        let service_time = self.mean_service_time.times(0.5 + self.random.uniform());
         let Some(open) = self.requests.get_mut(&request) else { return };
         let attempt = AttemptNumber(open.attempt_count);
         open.attempt_count += 1;
@@ -149,7 +149,7 @@
     }
 
     /// A request has its final answer; it is over once no attempt is in flight.
-    fn answered(&mut self, request: RequestId) {
+    fn mark_answered(&mut self, request: RequestId) {
         let Some(open) = self.requests.get_mut(&request) else { return };
         open.is_answered = true;
         if open.in_flight == 0 {
@@ -170,6 +170,6 @@
             latency: self.now - end.dispatched_at,
             answered: true,
         }));
-        self.answered(end.request);
+        self.mark_answered(end.request);
     }
 }
--- a/scale/src/balancer_point/mod.rs
+++ b/scale/src/balancer_point/mod.rs
@@ -40,7 +40,7 @@
 }
 
 /// What one seed gave, in microseconds.
-struct Times {
+struct SeedTimes {
     snapshot: f64,
     request: f64,
     changed_entry: f64,
@@ -48,19 +48,19 @@
 
 /// How a time is spread over the seeds.
 struct Spread {
-    least: Option<f64>,
+    minimum: Option<f64>,
     median: Option<f64>,
-    most: Option<f64>,
+    maximum: Option<f64>,
 }
 
 impl Spread {
-    fn of(times: &[Times], time: fn(&Times) -> f64) -> Spread {
+    fn from_times(times: &[SeedTimes], time: fn(&SeedTimes) -> f64) -> Spread {
         let mut sorted: Vec<f64> = times.iter().map(time).collect();
         sorted.sort_by(f64::total_cmp);
         Spread {
-            least: sorted.first().copied(),
+            minimum: sorted.first().copied(),
             median: sorted.get(sorted.len() / 2).copied(),
-            most: sorted.last().copied(),
+            maximum: sorted.last().copied(),
         }
     }
 }
@@ -71,34 +71,34 @@
     for number in 0..u64::from(point.seeds) {
         times.push(measure(point, point.seed + number)?);
     }
-    let snapshot = Spread::of(&times, |times| times.snapshot);
-    let request = Spread::of(&times, |times| times.request);
-    let changed_entry = Spread::of(&times, |times| times.changed_entry);
+    let snapshot = Spread::from_times(&times, |times| times.snapshot);
+    let request = Spread::from_times(&times, |times| times.request);
+    let changed_entry = Spread::from_times(&times, |times| times.changed_entry);
     let figures = vec![
         Figure::new("whole_list_us", snapshot.median),
-        Figure::new("whole_list_least_us", snapshot.least),
-        Figure::new("whole_list_most_us", snapshot.most),
+        Figure::new("whole_list_least_us", snapshot.minimum),
+        Figure::new("whole_list_most_us", snapshot.maximum),
         Figure::new("request_us", request.median),
-        Figure::new("request_least_us", request.least),
-        Figure::new("request_most_us", request.most),
+        Figure::new("request_least_us", request.minimum),
+        Figure::new("request_most_us", request.maximum),
         Figure::new("changed_line_us", changed_entry.median),
-        Figure::new("changed_line_least_us", changed_entry.least),
-        Figure::new("changed_line_most_us", changed_entry.most),
+        Figure::new("changed_line_least_us", changed_entry.minimum),
+        Figure::new("changed_line_most_us", changed_entry.maximum),
     ];
     Ok(PointResult { label: point.label.clone(), size: 0.0, figures, checks: Vec::new() })
 }
 
-fn measure(point: &Point, seed: u64) -> Result<Times, BalancerPointError> {
+fn measure(point: &Point, seed: u64) -> Result<SeedTimes, BalancerPointError> {
     let config = read_config(&proxy_settings(point, 0))?;
     let backends = backends(point)?;
     let mut host = Host::new(point, config, seed)?;
     let snapshot =
         Event::EndpointListChanged { update: EndpointListUpdate::Snapshot, backends: backends.clone() };
-    let snapshot_us = host.time_us(|host| host.handle(snapshot));
+    let snapshot_us = host.measure_us(|host| host.handle(snapshot));
     run_requests(&mut host, WARM_UP_REQUESTS);
-    let requests_us = host.time_us(|host| run_requests(host, MEASURED_REQUESTS));
+    let requests_us = host.measure_us(|host| run_requests(host, MEASURED_REQUESTS));
     let changes_us = measure_changes(&mut host, &backends);
-    Ok(Times {
+    Ok(SeedTimes {
         snapshot: snapshot_us,
         request: requests_us / f64::from(MEASURED_REQUESTS),
         changed_entry: changes_us / f64::from(CHANGED_ENTRIES),
@@ -130,7 +130,7 @@
             let changed = Backend { state, ..backend.clone() };
             let delta =
                 Event::EndpointListChanged { update: EndpointListUpdate::Delta, backends: vec![changed] };
-            total_us += host.time_us(|host| host.handle(delta)) / states.len() as f64;
+            total_us += host.measure_us(|host| host.handle(delta)) / states.len() as f64;
         }
         if number % CHANGES_PER_REQUEST == 0 {
             host.run_request();
--- a/scale/src/clients/connection_pool.rs
+++ b/scale/src/clients/connection_pool.rs
@@ -15,7 +15,7 @@
 use tokio::net::TcpStream;
 
 /// The longest answer that is read, in bytes.
-const MAX_ANSWER_BYTES: usize = 64 << 10;
+const MAX_RESPONSE_BYTES: usize = 64 << 10;
 
 type Connection = SendRequest<Full<Bytes>>;
 
@@ -49,12 +49,12 @@
     pub async fn exchange(self: Rc<Self>, request: &PlannedRequest) -> RequestOutcome {
         if let Some(connection) = self.take_idle() {
             match self.send(connection, request).await {
-                Err(error) if was_closed_before_answer(&error) => self.counters.lock().resent += 1,
-                sent => return outcome(request, sent),
+                Err(error) if was_closed_before_response(&error) => self.counters.lock().resent += 1,
+                sent => return outcome_or_lost(request, sent),
             }
         }
         match self.open().await {
-            Some(connection) => outcome(request, self.send(connection, request).await),
+            Some(connection) => outcome_or_lost(request, self.send(connection, request).await),
             None => RequestOutcome::Unsent,
         }
     }
@@ -63,16 +63,16 @@
         &self, mut connection: Connection, planned: &PlannedRequest,
     ) -> Result<RequestOutcome, hyper::Error> {
         let Some(request) = http_request(planned, self.deadline) else { return Ok(RequestOutcome::Unsent) };
-        let answer = connection.send_request(request).await?;
-        let status = answer.status();
-        let Ok(body) = Limited::new(answer.into_body(), MAX_ANSWER_BYTES).collect().await else {
+        let response = connection.send_request(request).await?;
+        let status = response.status();
+        let Ok(body) = Limited::new(response.into_body(), MAX_RESPONSE_BYTES).collect().await else {
             return Ok(RequestOutcome::Lost);
         };
         if connection.ready().await.is_ok() {
             self.idle.borrow_mut().push(connection);
         }
         let service_time = Duration::from_micros(service_time_us(&body.to_bytes()).unwrap_or(0));
-        Ok(RequestOutcome::Answered { status, service_time })
+        Ok(RequestOutcome::Responded { status, service_time })
     }
 
     /// An idle connection that still stands.
@@ -102,7 +102,7 @@
         let pool = self.clone();
         tokio::task::spawn_local(async move {
             if connection.await.is_err_and(|error| is_unexpected_message(&error)) {
-                pool.counters.lock().unexpected += 1;
+                pool.counters.lock().unexpected_messages += 1;
             }
             pool.connection_closed();
         });
@@ -115,7 +115,7 @@
 }
 
 /// Nothing of an answer came: the proxy need not have read the request.
-fn was_closed_before_answer(error: &hyper::Error) -> bool {
+fn was_closed_before_response(error: &hyper::Error) -> bool {
     error.is_canceled() || error.is_closed() || error.is_incomplete_message()
 }
 
@@ -129,7 +129,7 @@
     std::str::from_utf8(body).ok()?.parse().ok()
 }
 
-fn outcome(request: &PlannedRequest, sent: Result<RequestOutcome, hyper::Error>) -> RequestOutcome {
+fn outcome_or_lost(request: &PlannedRequest, sent: Result<RequestOutcome, hyper::Error>) -> RequestOutcome {
     sent.unwrap_or_else(|error| {
         tracing::info!("request {}: {error}", request.id);
         RequestOutcome::Lost
--- a/scale/src/clients/counters.rs
+++ b/scale/src/clients/counters.rs
@@ -24,12 +24,12 @@
     /// Those sent once more, because their connection was closed as they went out on it.
     pub resent: u64,
     /// Messages from a proxy that no request had asked for.
-    pub unexpected: u64,
+    pub unexpected_messages: u64,
     /// Time from the planned send to the answer less the backend's own.
     pub added_latency: LatencyHistogram,
     /// The longest time between two answers.
-    pub longest_pause: Duration,
-    last_answer_at: Option<Instant>,
+    pub longest_response_gap: Duration,
+    last_response_at: Option<Instant>,
 }
 
 impl ClientCounters {
@@ -42,15 +42,15 @@
             lost: 0,
             unsent: 0,
             resent: 0,
-            unexpected: 0,
+            unexpected_messages: 0,
             added_latency: LatencyHistogram::new()?,
-            longest_pause: Duration::ZERO,
-            last_answer_at: None,
+            longest_response_gap: Duration::ZERO,
+            last_response_at: None,
         })
     }
 
     /// Requests that a proxy has answered.
-    pub fn answered(&self) -> u64 {
+    pub fn response_count(&self) -> u64 {
         self.served + self.rejected + self.failed
     }
 
@@ -59,18 +59,18 @@
         match outcome {
             RequestOutcome::Unsent => self.unsent += 1,
             RequestOutcome::Lost => self.lost += 1,
-            RequestOutcome::Answered { status, service_time } => {
-                self.record_answer(planned_at, status, service_time);
+            RequestOutcome::Responded { status, service_time } => {
+                self.record_response(planned_at, status, service_time);
             }
         }
     }
 
-    fn record_answer(&mut self, planned_at: Instant, status: StatusCode, service_time: Duration) {
+    fn record_response(&mut self, planned_at: Instant, status: StatusCode, service_time: Duration) {
         let now = Instant::now();
-        if let Some(last_answer_at) = self.last_answer_at {
-            self.longest_pause = self.longest_pause.max(now - last_answer_at);
+        if let Some(last_response_at) = self.last_response_at {
+            self.longest_response_gap = self.longest_response_gap.max(now - last_response_at);
         }
-        self.last_answer_at = Some(now);
+        self.last_response_at = Some(now);
         match status {
             StatusCode::OK => {
                 self.served += 1;
@@ -86,7 +86,7 @@
 /// What came of one request.
 pub(super) enum RequestOutcome {
     /// It was answered.
-    Answered {
+    Responded {
         /// Status of the answer.
         status: StatusCode,
         /// How long the backend took by its own account.
--- a/scale/src/clients/mod.rs
+++ b/scale/src/clients/mod.rs
@@ -22,9 +22,9 @@
 use tokio::time::{timeout_at, Instant};
 
 /// Requests that are due and not yet sent; more are counted as unsent.
-const DUE_REQUESTS: usize = 4_096;
+const DUE_QUEUE_CAPACITY: usize = 4_096;
 /// No answer is waited for longer than this after the deadline.
-const GRACE: Duration = Duration::from_secs(1);
+const RESPONSE_GRACE_PERIOD: Duration = Duration::from_secs(1);
 
 /// Why the clients could not be started.
 #[derive(Debug, thiserror::Error)]
@@ -47,8 +47,8 @@
     /// Starts them: Poisson arrivals over all proxies for the time of the point's load.
     pub fn start(point: &Point, proxies: &[SocketAddr]) -> Result<Clients, ClientsError> {
         let counters = SharedCounters::new()?;
-        let (sender, due) = mpsc::channel(DUE_REQUESTS);
-        let sending = {
+        let (sender, due) = mpsc::channel(DUE_QUEUE_CAPACITY);
+        let sender_thread = {
             let (proxies, counters) = (proxies.to_vec(), counters.clone());
             let max_connections = point.connections;
             let deadline = Duration::from_millis(point.deadline_ms);
@@ -57,15 +57,15 @@
                 send_requests(&pools, due, deadline, &counters).await;
             })?
         };
-        let pacing = {
+        let schedule_thread = {
             let (point, proxies, counters) = (point.clone(), proxies.len(), counters.clone());
             spawn_thread("pace", move || schedule::run(&point, proxies, &sender, &counters))?
         };
-        Ok(Clients { counters, threads: vec![sending, pacing] })
+        Ok(Clients { counters, threads: vec![sender_thread, schedule_thread] })
     }
 
     /// Whether every request has come to its end.
-    pub fn are_done(&self) -> bool {
+    pub fn is_finished(&self) -> bool {
         self.threads.iter().all(JoinHandle::is_finished)
     }
 
@@ -90,7 +90,7 @@
     while let Some(request) = due.recv().await {
         let (pool, counters) = (pools[request.proxy].clone(), counters.clone());
         in_flight.spawn_local(async move {
-            let limit = Instant::from_std(request.planned_at + deadline + GRACE);
+            let limit = Instant::from_std(request.planned_at + deadline + RESPONSE_GRACE_PERIOD);
             let outcome = timeout_at(limit, pool.exchange(&request)).await;
             counters.lock().record(request.planned_at, outcome.unwrap_or(RequestOutcome::Lost));
         });
--- a/scale/src/discovery/call.rs
+++ b/scale/src/discovery/call.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 
 /// The path of the list and of watches on it.
-const PATH: &str = "/api/targets";
+const ENDPOINT_LIST_PATH: &str = "/api/targets";
 /// The longest wait of a watch.
-const LONGEST_WAIT: Duration = Duration::from_secs(60);
+const MAX_WAIT: Duration = Duration::from_secs(60);
 
 /// A call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -24,15 +24,12 @@
 impl Call {
     /// `None` for a call that the service does not know.
     pub fn parse(path: &str, query: &str) -> Option<Call> {
-        if path != PATH {
+        if path != ENDPOINT_LIST_PATH {
             return None;
         }
         let Some(after) = parameter(query, "after") else { return Some(Call::List) };
         let wait_ms = parameter(query, "wait_ms").map_or(Some(0), |text| text.parse().ok())?;
-        Some(Call::Watch {
-            after: after.parse().ok()?,
-            wait: Duration::from_millis(wait_ms).min(LONGEST_WAIT),
-        })
+        Some(Call::Watch { after: after.parse().ok()?, wait: Duration::from_millis(wait_ms).min(MAX_WAIT) })
     }
 }
 
--- a/scale/src/discovery/call_queue.rs
+++ b/scale/src/discovery/call_queue.rs
@@ -11,30 +11,30 @@
 #[derive(Clone, Copy, Debug)]
 pub struct CallCosts {
     /// Work for each call.
-    pub call: Duration,
+    pub per_call: Duration,
     /// Work for each entry of a response.
-    pub entry: Duration,
+    pub per_entry: Duration,
     /// Calls that may wait in its queue; more are rejected.
     pub queue_capacity: usize,
     /// Each proxy has an agent beside it: calls cost nothing to anybody else.
-    pub has_agents: bool,
+    pub has_local_agents: bool,
 }
 
 impl CallCosts {
     /// What calls cost the discovery service of a point.
-    pub fn of(point: &Point) -> CallCosts {
+    pub fn for_point(point: &Point) -> CallCosts {
         CallCosts {
-            call: Duration::from_micros(point.discovery.call_us),
-            entry: Duration::from_secs_f64(point.discovery.line_us / 1e6),
+            per_call: Duration::from_micros(point.discovery.call_us),
+            per_entry: Duration::from_secs_f64(point.discovery.line_us / 1e6),
             queue_capacity: point.discovery.queue,
-            has_agents: point.discovery.mode == DiscoveryMode::Push,
+            has_local_agents: point.discovery.mode == DiscoveryMode::Push,
         }
     }
 }
 
 /// What becomes of a call that finds the queue full.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum WhenFull {
+pub(super) enum OverflowPolicy {
     /// It is rejected.
     Reject,
     /// It waits all the same: its call was admitted before.
@@ -51,14 +51,14 @@
     counters: Arc<SharedCounters>,
     /// When the work of all that wait is done.
     idle_at: Cell<Instant>,
-    waiting: Cell<u64>,
-    current_second: Cell<SecondOfCalls>,
+    waiting_calls: Cell<u64>,
+    call_rate_window: Cell<CallRateWindow>,
 }
 
 /// A second, and the calls that came in it.
 #[derive(Clone, Copy)]
-struct SecondOfCalls {
-    began_at: Instant,
+struct CallRateWindow {
+    started_at: Instant,
     calls: u64,
 }
 
@@ -68,44 +68,46 @@
             costs,
             counters,
             idle_at: Cell::new(Instant::now()),
-            waiting: Cell::new(0),
-            current_second: Cell::new(SecondOfCalls { began_at: Instant::now(), calls: 0 }),
+            waiting_calls: Cell::new(0),
+            call_rate_window: Cell::new(CallRateWindow { started_at: Instant::now(), calls: 0 }),
         }
     }
 
     /// Work for a call.
     pub fn call_work(&self) -> Duration {
-        self.costs.call
+        self.costs.per_call
     }
 
     /// Work for the entries of a response.
     pub fn entries_work(&self, count: usize) -> Duration {
-        self.costs.entry * count as u32
+        self.costs.per_entry * count as u32
     }
 
     /// Counts a call that came.
     pub fn record_call(&self) {
         self.counters.count_call();
-        let mut second = self.current_second.get();
-        if second.began_at.elapsed() >= Duration::from_secs(1) {
-            second = SecondOfCalls { began_at: Instant::now(), calls: 0 };
+        let mut window = self.call_rate_window.get();
+        if window.started_at.elapsed() >= Duration::from_secs(1) {
+            window = CallRateWindow { started_at: Instant::now(), calls: 0 };
         }
-        second.calls += 1;
-        self.current_second.set(second);
-        self.counters.record_call_rate(second.calls);
+        window.calls += 1;
+        self.call_rate_window.set(window);
+        self.counters.record_call_rate(window.calls);
     }
 
     /// Waits for the work of all calls before this one and for its own.
-    pub async fn wait_for(&self, work: Duration, when_full: WhenFull) -> Result<(), QueueFull> {
-        if self.costs.has_agents || work.is_zero() {
+    pub async fn complete_work(
+        &self, work: Duration, overflow_policy: OverflowPolicy,
+    ) -> Result<(), QueueFull> {
+        if self.costs.has_local_agents || work.is_zero() {
             return Ok(());
         }
-        let is_full = self.waiting.get() >= self.costs.queue_capacity as u64;
-        if is_full && when_full == WhenFull::Reject {
+        let is_full = self.waiting_calls.get() >= self.costs.queue_capacity as u64;
+        if is_full && overflow_policy == OverflowPolicy::Reject {
             return Err(QueueFull);
         }
-        let _slot = Slot::take(&self.waiting);
-        self.counters.record_queue(self.waiting.get());
+        let _slot = QueueSlot::take(&self.waiting_calls);
+        self.counters.record_queue_length(self.waiting_calls.get());
         let done_at = self.idle_at.get().max(Instant::now()) + work;
         self.idle_at.set(done_at);
         sleep_until(done_at).await;
@@ -115,16 +117,16 @@
 
 /// A place in the queue, given back however the call ends. The work of a caller that went away is done all
 /// the same.
-struct Slot<'a>(&'a Cell<u64>);
+struct QueueSlot<'a>(&'a Cell<u64>);
 
-impl<'a> Slot<'a> {
-    fn take(waiting: &'a Cell<u64>) -> Slot<'a> {
-        waiting.set(waiting.get() + 1);
-        Slot(waiting)
+impl<'a> QueueSlot<'a> {
+    fn take(waiting_calls: &'a Cell<u64>) -> QueueSlot<'a> {
+        waiting_calls.set(waiting_calls.get() + 1);
+        QueueSlot(waiting_calls)
     }
 }
 
-impl Drop for Slot<'_> {
+impl Drop for QueueSlot<'_> {
     fn drop(&mut self) {
         self.0.set(self.0.get().saturating_sub(1));
     }
--- a/scale/src/discovery/counters.rs
+++ b/scale/src/discovery/counters.rs
@@ -71,7 +71,7 @@
         self.rejected.fetch_add(1, Ordering::Relaxed);
     }
 
-    pub fn record_queue(&self, length: u64) {
+    pub fn record_queue_length(&self, length: u64) {
         self.longest_queue.fetch_max(length, Ordering::Relaxed);
     }
 
--- a/scale/src/discovery/mod.rs
+++ b/scale/src/discovery/mod.rs
@@ -23,7 +23,7 @@
 use tokio::sync::{mpsc, oneshot, watch};
 
 /// Commands that may wait for the server.
-const COMMAND_QUEUE: usize = 16;
+const COMMAND_QUEUE_CAPACITY: usize = 16;
 
 /// Why the service could not be started or relocated.
 #[derive(Debug, thiserror::Error)]
@@ -52,7 +52,7 @@
     /// Starts the service on a port of 127.0.0.1 that the system chooses.
     pub fn start(list: EndpointList, costs: CallCosts) -> Result<Discovery, DiscoveryError> {
         let (version, versions) = watch::channel(list.version());
-        let (commands, received_commands) = mpsc::channel(COMMAND_QUEUE);
+        let (commands, received_commands) = mpsc::channel(COMMAND_QUEUE_CAPACITY);
         let list = Arc::new(Mutex::new(list));
         let counters = Arc::<SharedCounters>::default();
         let listener = listen_socket::bind_any_port().map_err(DiscoveryError::Socket)?;
@@ -89,18 +89,18 @@
 
     /// What it does with calls from now on.
     pub async fn set_behavior(&self, behavior: DiscoveryBehavior) {
-        let (done, is_done) = oneshot::channel();
+        let (done, done_receiver) = oneshot::channel();
         if self.commands.send(Command::SetBehavior { behavior, done }).await.is_ok() {
-            let _ = is_done.await;
+            let _ = done_receiver.await;
         }
     }
 
     /// Moves it to another port, which it returns; the old one takes no new connections and closes the open
     /// ones a little later.
     pub async fn relocate(&self) -> Result<SocketAddr, DiscoveryError> {
-        let (done, is_done) = oneshot::channel();
+        let (done, done_receiver) = oneshot::channel();
         self.commands.send(Command::Relocate { done }).await.map_err(|_| DiscoveryError::Ended)?;
-        let relocated = is_done.await.map_err(|_| DiscoveryError::Ended)?;
+        let relocated = done_receiver.await.map_err(|_| DiscoveryError::Ended)?;
         let address = relocated.map_err(DiscoveryError::Socket)?;
         *lock(&self.address) = address;
         Ok(address)
--- a/scale/src/discovery/server.rs
+++ b/scale/src/discovery/server.rs
@@ -1,7 +1,7 @@
 //! The server of the discovery service: its connections, and its responses to calls.
 
 use super::call::Call;
-use super::call_queue::{CallCosts, CallQueue, QueueFull, WhenFull};
+use super::call_queue::{CallCosts, CallQueue, OverflowPolicy, QueueFull};
 use super::counters::SharedCounters;
 use super::listen_socket::{bind_any_port, ListenSocket};
 use crate::counted_stream::CountedStream;
@@ -28,7 +28,7 @@
 use tokio::time::{sleep, timeout};
 
 /// The connections of an address that the service has left are closed this much later.
-const CLOSE_AFTER_RELOCATION: Duration = Duration::from_millis(1_500);
+const RELOCATION_CLOSE_DELAY: Duration = Duration::from_millis(1_500);
 /// Open connections at one address; more are closed unheard.
 const MAX_CONNECTIONS: usize = 8_192;
 
@@ -141,7 +141,7 @@
     fn close_connections_later(&self, port: u16) {
         let connections = self.connections.borrow_mut().remove(&port);
         tokio::task::spawn_local(async move {
-            sleep(CLOSE_AFTER_RELOCATION).await;
+            sleep(RELOCATION_CLOSE_DELAY).await;
             drop(connections);
         });
     }
@@ -192,21 +192,21 @@
     async fn snapshot(&self) -> Result<ListResponse, CallError> {
         let entries = lock(&self.list).entry_count(None);
         let work = self.queue.call_work() + self.queue.entries_work(entries);
-        self.wait_for_work(work, WhenFull::Reject).await?;
+        self.complete_work(work, OverflowPolicy::Reject).await?;
         self.counters.count_list();
         Ok(lock(&self.list).response(None))
     }
 
     async fn changes(&self, after: u64, wait: Duration) -> Result<ListResponse, CallError> {
-        self.wait_for_work(self.queue.call_work(), WhenFull::Reject).await?;
+        self.complete_work(self.queue.call_work(), OverflowPolicy::Reject).await?;
         self.wait_for_change(after, wait).await?;
         let entries = lock(&self.list).entry_count(Some(after));
-        self.wait_for_work(self.queue.entries_work(entries), WhenFull::Wait).await?;
+        self.complete_work(self.queue.entries_work(entries), OverflowPolicy::Wait).await?;
         Ok(lock(&self.list).response(Some(after)))
     }
 
-    async fn wait_for_work(&self, work: Duration, when_full: WhenFull) -> Result<(), CallError> {
-        self.queue.wait_for(work, when_full).await?;
+    async fn complete_work(&self, work: Duration, overflow_policy: OverflowPolicy) -> Result<(), CallError> {
+        self.queue.complete_work(work, overflow_policy).await?;
         self.require_serving().await
     }
 
--- a/scale/src/endpoint_list.rs
+++ b/scale/src/endpoint_list.rs
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 
 /// Responses kept for callers that hold the same version.
-const CACHED_RESPONSES: usize = 32;
+const MAX_CACHED_RESPONSES: usize = 32;
 /// Backends of one cell; cells share which idempotency keys they have seen.
 const BACKENDS_PER_CELL: usize = 8;
 /// The weights between which [`EndpointList::toggle_weight`] changes.
@@ -41,7 +41,7 @@
     zones: usize,
     kinds: usize,
     /// Which entry each version changed, the latest last.
-    changes: VecDeque<usize>,
+    changed_backends: VecDeque<usize>,
     responses: VecDeque<CachedResponse>,
 }
 
@@ -74,7 +74,7 @@
             endpoints: addresses.iter().map(endpoint).collect(),
             zones: point.zones as usize,
             kinds: point.kinds as usize,
-            changes: VecDeque::new(),
+            changed_backends: VecDeque::new(),
             responses: VecDeque::new(),
         }
     }
@@ -101,42 +101,42 @@
 
     fn record_change(&mut self, backend: usize) {
         self.version += 1;
-        self.changes.push_back(backend);
-        if self.changes.len() > self.endpoints.len() {
-            self.changes.pop_front();
+        self.changed_backends.push_back(backend);
+        if self.changed_backends.len() > self.endpoints.len() {
+            self.changed_backends.pop_front();
         }
         self.responses.clear();
     }
 
     /// How many entries such a response has at most, without writing it.
     pub fn entry_count(&self, after: Option<u64>) -> usize {
-        after.and_then(|version| self.changes_since(version)).unwrap_or(self.endpoints.len())
+        after.and_then(|version| self.change_count_since(version)).unwrap_or(self.endpoints.len())
     }
 
     /// The response to a caller that holds this version, or none: a delta where the changes since are known,
     /// else a snapshot.
     pub fn response(&mut self, after: Option<u64>) -> ListResponse {
-        let after = after.filter(|version| self.changes_since(*version).is_some());
+        let after = after.filter(|version| self.change_count_since(*version).is_some());
         if let Some(cached) = self.responses.iter().find(|cached| cached.after == after) {
             return cached.response.clone();
         }
-        let response = self.write_response(after);
+        let response = self.build_response(after);
         self.responses.push_back(CachedResponse { after, response: response.clone() });
-        if self.responses.len() > CACHED_RESPONSES {
+        if self.responses.len() > MAX_CACHED_RESPONSES {
             self.responses.pop_front();
         }
         response
     }
 
     /// How many changes followed a version; none where they are not known any more.
-    fn changes_since(&self, version: u64) -> Option<usize> {
+    fn change_count_since(&self, version: u64) -> Option<usize> {
         let count = usize::try_from(self.version.checked_sub(version)?).ok()?;
-        Some(count).filter(|count| *count <= self.changes.len())
+        Some(count).filter(|count| *count <= self.changed_backends.len())
     }
 
-    fn write_response(&self, after: Option<u64>) -> ListResponse {
-        let entries: Vec<Value> = match after.and_then(|version| self.changes_since(version)) {
-            None => self.present_backends().map(|backend| self.entry(backend)).collect(),
+    fn build_response(&self, after: Option<u64>) -> ListResponse {
+        let entries: Vec<Value> = match after.and_then(|version| self.change_count_since(version)) {
+            None => self.listed_backends().map(|backend| self.entry(backend)).collect(),
             Some(count) => self.last_changed(count).into_iter().map(|backend| self.entry(backend)).collect(),
         };
         let count = entries.len();
@@ -144,15 +144,15 @@
         ListResponse { body: Bytes::from(body.to_string()), entries: count }
     }
 
-    fn present_backends(&self) -> impl Iterator<Item = usize> + '_ {
-        let present = |backend: &usize| self.endpoints[*backend].status != EndpointStatus::Removed;
-        (0..self.endpoints.len()).filter(present)
+    fn listed_backends(&self) -> impl Iterator<Item = usize> + '_ {
+        let is_listed = |backend: &usize| self.endpoints[*backend].status != EndpointStatus::Removed;
+        (0..self.endpoints.len()).filter(is_listed)
     }
 
     /// The backends of the last changes, each once.
     fn last_changed(&self, count: usize) -> Vec<usize> {
-        let skipped = self.changes.len() - count;
-        let mut changed: Vec<usize> = self.changes.iter().skip(skipped).copied().collect();
+        let skipped = self.changed_backends.len() - count;
+        let mut changed: Vec<usize> = self.changed_backends.iter().skip(skipped).copied().collect();
         changed.sort_unstable();
         changed.dedup();
         changed
--- a/scale/src/events.rs
+++ b/scale/src/events.rs
@@ -19,7 +19,7 @@
 /// A backend of a release drains for this long before it leaves ...
 const DRAIN_TIME: Duration = Duration::from_millis(2_000);
 /// ... and starts again this long after it began to drain.
-const RESTART_TIME: Duration = Duration::from_millis(2_500);
+const RESTART_DELAY: Duration = Duration::from_millis(2_500);
 
 /// Why an event could not be run.
 #[derive(Debug, thiserror::Error)]
@@ -76,20 +76,20 @@
 
 async fn run_event(event: &PlannedEvent, targets: &EventTargets, backends: usize) -> Result<(), EventError> {
     let duration = Duration::from_secs_f64(event.for_s);
-    let released = if event.lines == 0 { backends } else { event.lines as usize };
+    let released_backends = if event.lines == 0 { backends } else { event.lines as usize };
     tracing::info!("{:?} for {} s", event.what, event.for_s);
     match event.what {
-        EventKind::Release => release(targets, released, duration).await,
-        EventKind::Refuse => disturb_discovery(targets, DiscoveryBehavior::Reject, duration).await,
-        EventKind::Silence => disturb_discovery(targets, DiscoveryBehavior::Unresponsive, duration).await,
-        EventKind::Down => disturb_discovery(targets, DiscoveryBehavior::Down, duration).await,
+        EventKind::Release => release(targets, released_backends, duration).await,
+        EventKind::Refuse => disrupt_discovery(targets, DiscoveryBehavior::Reject, duration).await,
+        EventKind::Silence => disrupt_discovery(targets, DiscoveryBehavior::Unresponsive, duration).await,
+        EventKind::Down => disrupt_discovery(targets, DiscoveryBehavior::Down, duration).await,
         EventKind::Reload => targets.proxies.discovery_relocated(targets.discovery.relocate().await?)?,
         EventKind::Return => targets.proxies.restart_all()?,
     }
     Ok(())
 }
 
-async fn disturb_discovery(targets: &EventTargets, behavior: DiscoveryBehavior, duration: Duration) {
+async fn disrupt_discovery(targets: &EventTargets, behavior: DiscoveryBehavior, duration: Duration) {
     targets.discovery.set_behavior(behavior).await;
     sleep(duration).await;
     targets.discovery.set_behavior(DiscoveryBehavior::Serve).await;
@@ -108,13 +108,13 @@
     fn at(elapsed: Duration, backends: usize, spread: Duration) -> ReleaseProgress {
         let due_after = |delay: Duration| {
             let Some(elapsed) = elapsed.checked_sub(delay) else { return 0 };
-            let part = elapsed.as_secs_f64() / spread.as_secs_f64();
-            ((part * backends as f64) as usize + 1).min(backends)
+            let fraction = elapsed.as_secs_f64() / spread.as_secs_f64();
+            ((fraction * backends as f64) as usize + 1).min(backends)
         };
         ReleaseProgress {
             drained: due_after(Duration::ZERO),
             removed: due_after(DRAIN_TIME),
-            restarted: due_after(RESTART_TIME),
+            restarted: due_after(RESTART_DELAY),
         }
     }
 }
@@ -122,7 +122,7 @@
 /// Each backend drains, leaves and starts again, to warm up; all are done at the end of the time.
 async fn release(targets: &EventTargets, backends: usize, duration: Duration) {
     let start = Instant::now();
-    let spread = duration.saturating_sub(RESTART_TIME);
+    let spread = duration.saturating_sub(RESTART_DELAY);
     let mut done = ReleaseProgress::default();
     while done.restarted < backends {
         sleep(UPDATE_INTERVAL).await;
--- a/scale/src/latency.rs
+++ b/scale/src/latency.rs
@@ -3,9 +3,9 @@
 use hdrhistogram::{CreationError, Histogram};
 
 /// Longer times count as this one, in microseconds.
-const LONGEST_US: u64 = 60_000_000;
+const MAX_LATENCY_US: u64 = 60_000_000;
 /// Significant digits of a recorded time.
-const PRECISION: u8 = 3;
+const SIGNIFICANT_DIGITS: u8 = 3;
 
 /// A histogram could not be made.
 #[derive(Debug, thiserror::Error)]
@@ -19,7 +19,9 @@
 impl LatencyHistogram {
     /// An empty one.
     pub fn new() -> Result<LatencyHistogram, HistogramError> {
-        Histogram::new_with_bounds(1, LONGEST_US, PRECISION).map(LatencyHistogram).map_err(HistogramError)
+        Histogram::new_with_bounds(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
+            .map(LatencyHistogram)
+            .map_err(HistogramError)
     }
 
     /// Records a time.
--- a/scale/src/machine_limits.rs
+++ b/scale/src/machine_limits.rs
@@ -8,21 +8,21 @@
 /// Fraction of the machine's memory that a plan may take.
 const MEMORY_FRACTION: f64 = 0.5;
 /// Memory counted for any proxy, real or simulated, in bytes.
-const PROXY_BYTES: f64 = 8e6;
+const BYTES_PER_PROXY: f64 = 8e6;
 /// Memory counted for each entry of the list that a proxy holds, in bytes.
-const ENTRY_BYTES: f64 = 1_500.0;
+const BYTES_PER_ENTRY: f64 = 1_500.0;
 /// Memory counted for each class and tenant that a proxy holds, in bytes.
-const NAME_BYTES: f64 = 1_200.0;
+const BYTES_PER_CLASS_OR_TENANT: f64 = 1_200.0;
 /// Memory counted for each listening backend, in bytes.
-const BACKEND_BYTES: f64 = 4_000.0;
+const BYTES_PER_BACKEND: f64 = 4_000.0;
 /// Memory counted for each end of a connection, in bytes.
-const CONNECTION_BYTES: f64 = 40_000.0;
+const BYTES_PER_CONNECTION_END: f64 = 40_000.0;
 /// Time for the start and the end of a point beside its phases, in seconds.
-const OVERHEAD_S: f64 = 6.0;
+const POINT_OVERHEAD_S: f64 = 6.0;
 /// Time counted for one seed of the bare decisions, in seconds.
-const SEED_S: f64 = 1.0;
+const SECONDS_PER_SEED: f64 = 1.0;
 /// Time counted for each of the seed's backends, classes and tenants, in seconds.
-const SEED_ITEM_S: f64 = 2e-4;
+const SECONDS_PER_SEED_ITEM: f64 = 2e-4;
 /// Descriptors for standard streams, listeners and runtimes.
 const RESERVED_DESCRIPTORS: u64 = 128;
 /// Descriptors counted for the discovery calls of each proxy.
@@ -32,9 +32,9 @@
 #[derive(Clone, Copy, Debug)]
 pub struct MachineResources {
     /// Memory in bytes.
-    pub memory: u64,
+    pub memory_bytes: u64,
     /// Descriptors that this process may hold.
-    pub descriptors: u64,
+    pub file_descriptors: u64,
 }
 
 /// Why the machine's resources could not be read.
@@ -63,8 +63,8 @@
     pub fn read() -> Result<MachineResources, MachineError> {
         let memory_kib = number_after("/proc/meminfo", "MemTotal:")?;
         // An unlimited number is written as a word.
-        let descriptors = number_after("/proc/self/limits", "Max open files").unwrap_or(u64::MAX);
-        Ok(MachineResources { memory: memory_kib * 1024, descriptors })
+        let file_descriptors = number_after("/proc/self/limits", "Max open files").unwrap_or(u64::MAX);
+        Ok(MachineResources { memory_bytes: memory_kib * 1024, file_descriptors })
     }
 }
 
@@ -78,7 +78,7 @@
 
 /// Whether the machine can bear the plan, in the plan's own time.
 pub fn check(plan: &Plan, machine: MachineResources) -> Result<(), PlanError> {
-    let seconds: f64 = plan.points.iter().map(|point| longest_duration_s(plan.kind, point)).sum();
+    let seconds: f64 = plan.points.iter().map(|point| max_duration_s(plan.kind, point)).sum();
     if seconds > plan.longest_s {
         let expected = format!("expected at least {seconds:.0}, which the points may take");
         return Err(PlanError::new("longest_s", expected));
@@ -90,15 +90,15 @@
 }
 
 /// The longest time that a point may take, in seconds.
-pub fn longest_duration_s(kind: PlanKind, point: &Point) -> f64 {
+pub fn max_duration_s(kind: PlanKind, point: &Point) -> f64 {
     match kind {
         PlanKind::Balancer => {
             let items = f64::from(point.backends) + f64::from(point.classes) + f64::from(point.tenants);
-            f64::from(point.seeds) * (SEED_S + SEED_ITEM_S * items)
+            f64::from(point.seeds) * (SECONDS_PER_SEED + SECONDS_PER_SEED_ITEM * items)
         }
         PlanKind::Real | PlanKind::Simulated => {
             let deadline_s = point.deadline_ms as f64 / 1e3;
-            point.ready_s + point.rest_s + point.change_s + point.load_s + 2.0 * deadline_s + OVERHEAD_S
+            point.ready_s + point.rest_s + point.change_s + point.load_s + 2.0 * deadline_s + POINT_OVERHEAD_S
         }
     }
 }
@@ -112,7 +112,7 @@
         return Err(PlanError::new(path("proxies"), expected));
     }
     let needed_memory = memory_needed(kind, point);
-    let allowed_memory = machine.memory as f64 * MEMORY_FRACTION;
+    let allowed_memory = machine.memory_bytes as f64 * MEMORY_FRACTION;
     if needed_memory > allowed_memory {
         let expected = format!(
             "expected a point within {:.0} MB, it counts for {:.0}",
@@ -122,10 +122,10 @@
         return Err(PlanError::new(path("proxies"), expected));
     }
     let needed_descriptors = descriptors_needed(kind, point);
-    if needed_descriptors > machine.descriptors {
+    if needed_descriptors > machine.file_descriptors {
         let expected = format!(
             "expected at most {} descriptors, they count for {needed_descriptors}",
-            machine.descriptors
+            machine.file_descriptors
         );
         return Err(PlanError::new(path("backends"), expected));
     }
@@ -134,13 +134,17 @@
 
 /// Memory of all processes, in bytes.
 fn memory_needed(kind: PlanKind, point: &Point) -> f64 {
-    let names = f64::from(point.classes) + f64::from(point.tenants);
-    let proxy = PROXY_BYTES + f64::from(point.backends) * ENTRY_BYTES + names * NAME_BYTES;
+    let classes_and_tenants = f64::from(point.classes) + f64::from(point.tenants);
+    let proxy = BYTES_PER_PROXY
+        + f64::from(point.backends) * BYTES_PER_ENTRY
+        + classes_and_tenants * BYTES_PER_CLASS_OR_TENANT;
     let connections = match kind {
-        PlanKind::Real => f64::from(point.proxies) * f64::from(point.connections) * 2.0 * CONNECTION_BYTES,
+        PlanKind::Real => {
+            f64::from(point.proxies) * f64::from(point.connections) * 2.0 * BYTES_PER_CONNECTION_END
+        }
         PlanKind::Simulated | PlanKind::Balancer => 0.0,
     };
-    f64::from(point.proxies) * proxy + f64::from(point.backends) * BACKEND_BYTES + connections
+    f64::from(point.proxies) * proxy + f64::from(point.backends) * BYTES_PER_BACKEND + connections
 }
 
 /// Descriptors of this process.
--- a/scale/src/main.rs
+++ b/scale/src/main.rs
@@ -11,9 +11,9 @@
 use tracing::Level;
 
 /// Exit code for a plan that cannot be run.
-const BAD_PLAN: u8 = 2;
+const INVALID_PLAN_EXIT_CODE: u8 = 2;
 /// The environment variable that names the least level of log lines.
-const LOG_LEVEL: &str = "SCALE_LOG";
+const LOG_LEVEL_VARIABLE: &str = "SCALE_LOG";
 
 /// Plays a plan: the real proxy, hollow proxies or the bare decisions at the sizes that it names.
 #[derive(Parser)]
@@ -31,7 +31,7 @@
 
 /// Why a plan cannot be run.
 #[derive(Debug, thiserror::Error)]
-enum UnacceptablePlan {
+enum PlanLoadError {
     #[error(transparent)]
     Plan(#[from] PlanError),
     #[error(transparent)]
@@ -40,33 +40,34 @@
 
 fn main() -> ExitCode {
     let arguments = Arguments::parse();
-    start_log();
-    let plan = match read_plan(&arguments.plan) {
+    init_logging();
+    let plan = match load_plan(&arguments.plan) {
         Ok(plan) => plan,
-        Err(error) => return fail(error, ExitCode::from(BAD_PLAN)),
+        Err(error) => return exit_with_error(error, ExitCode::from(INVALID_PLAN_EXIT_CODE)),
     };
     if arguments.check {
         return ExitCode::SUCCESS;
     }
     match runner::run(&plan, arguments.json.as_deref()) {
         Ok(Verdict::Passed) => ExitCode::SUCCESS,
-        Ok(Verdict::Failed) => fail("a check failed", ExitCode::FAILURE),
-        Err(error) => fail(error, ExitCode::FAILURE),
+        Ok(Verdict::Failed) => exit_with_error("a check failed", ExitCode::FAILURE),
+        Err(error) => exit_with_error(error, ExitCode::FAILURE),
     }
 }
 
-fn start_log() {
-    let level = std::env::var(LOG_LEVEL).ok().and_then(|level| level.parse().ok()).unwrap_or(Level::ERROR);
+fn init_logging() {
+    let level =
+        std::env::var(LOG_LEVEL_VARIABLE).ok().and_then(|level| level.parse().ok()).unwrap_or(Level::ERROR);
     tracing_subscriber::fmt().with_max_level(level).with_writer(std::io::stderr).with_ansi(false).init();
 }
 
-fn fail(reason: impl Display, code: ExitCode) -> ExitCode {
+fn exit_with_error(reason: impl Display, code: ExitCode) -> ExitCode {
     eprintln!("scale-test: {reason}");
     code
 }
 
 /// The plan, if its values are sound and the machine bears it.
-fn read_plan(path: &Path) -> Result<Plan, UnacceptablePlan> {
+fn load_plan(path: &Path) -> Result<Plan, PlanLoadError> {
     let plan = plan_file::load(path)?;
     machine_limits::check(&plan, MachineResources::read()?)?;
     Ok(plan)
--- a/scale/src/point_result.rs
+++ b/scale/src/point_result.rs
@@ -6,9 +6,9 @@
     /// What.
     pub name: &'static str,
     /// Whether it does.
-    pub holds: bool,
+    pub passed: bool,
     /// What was seen.
-    pub seen: String,
+    pub observed: String,
 }
 
 /// A measured figure.
@@ -53,6 +53,6 @@
 
     /// Whether every check holds.
     pub fn passed(&self) -> bool {
-        self.checks.iter().all(|check| check.holds)
+        self.checks.iter().all(|check| check.passed)
     }
 }
--- a/scale/src/process_stats.rs
+++ b/scale/src/process_stats.rs
@@ -13,17 +13,17 @@
 
 impl ProcessStats {
     /// Of this process.
-    pub fn own() -> ProcessStats {
+    pub fn for_current_process() -> ProcessStats {
         ProcessStats { directory: "/proc/self".into() }
     }
 
     /// Of the process with this id.
-    pub fn of(process_id: u32) -> ProcessStats {
+    pub fn for_process(process_id: u32) -> ProcessStats {
         ProcessStats { directory: format!("/proc/{process_id}").into() }
     }
 
     /// Processor time taken, in seconds; the system counts in hundredths of one.
-    pub fn processor_s(&self) -> Option<f64> {
+    pub fn cpu_time_s(&self) -> Option<f64> {
         let text = std::fs::read_to_string(self.directory.join("stat")).ok()?;
         // The name, in parentheses, may hold anything.
         let (_, fields) = text.rsplit_once(')')?;
--- a/scale/src/proxy_process.rs
+++ b/scale/src/proxy_process.rs
@@ -15,7 +15,7 @@
 /// A proxy must say where it listens within this time.
 const START_TIMEOUT: Duration = Duration::from_secs(10);
 /// What a proxy writes before its address.
-const LISTENING: &str = "listening on ";
+const LISTEN_LOG_PREFIX: &str = "listening on ";
 
 /// Why a process could not be started or signalled.
 #[derive(Debug, thiserror::Error)]
@@ -33,7 +33,7 @@
     NoStandardError,
     /// It did not say in time where it listens.
     #[error("proxy {number}: never listened")]
-    NeverListened {
+    ListenTimeout {
         /// Its number.
         number: u32,
     },
@@ -82,11 +82,11 @@
             .spawn()
             .map_err(ProcessError::file(program))?;
         let stderr = child.stderr.take();
-        let unknown_address = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
-        let mut process = ProxyProcess { child, config_file, address: unknown_address, started_at };
+        let placeholder_address = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
+        let mut process = ProxyProcess { child, config_file, address: placeholder_address, started_at };
         let addresses = read_log(number, stderr.ok_or(ProcessError::NoStandardError)?);
         process.address =
-            addresses.recv_timeout(START_TIMEOUT).map_err(|_| ProcessError::NeverListened { number })?;
+            addresses.recv_timeout(START_TIMEOUT).map_err(|_| ProcessError::ListenTimeout { number })?;
         Ok(process)
     }
 
@@ -115,7 +115,7 @@
 
     /// Reads what it takes of the machine.
     pub fn stats(&self) -> ProcessStats {
-        ProcessStats::of(self.child.id())
+        ProcessStats::for_process(self.child.id())
     }
 }
 
@@ -129,11 +129,11 @@
 
 /// Reads the log of a proxy to its end; yields the addresses on which it says that it listens.
 fn read_log(number: u32, stderr: ChildStderr) -> mpsc::Receiver<SocketAddr> {
-    let (found, addresses) = mpsc::channel();
+    let (address_sender, addresses) = mpsc::channel();
     std::thread::spawn(move || {
         for line in BufReader::new(stderr).lines().map_while(Result::ok) {
             if let Some(address) = listen_address(&line) {
-                let _ = found.send(address);
+                let _ = address_sender.send(address);
             }
             tracing::debug!("proxy {number}: {line}");
         }
@@ -142,6 +142,6 @@
 }
 
 fn listen_address(line: &str) -> Option<SocketAddr> {
-    let (_, address) = line.split_once(LISTENING)?;
+    let (_, address) = line.split_once(LISTEN_LOG_PREFIX)?;
     address.trim().parse().ok()
 }
--- a/scale/src/random.rs
+++ b/scale/src/random.rs
@@ -22,22 +22,22 @@
     }
 
     /// Uniform in [0, 1).
-    pub fn unit(&mut self) -> f64 {
+    pub fn uniform(&mut self) -> f64 {
         f64::from(self.0.next_u32()) / 4_294_967_296.0
     }
 
     /// Uniform in [0, 1].
-    pub fn unit_inclusive(&mut self) -> f64 {
+    pub fn uniform_inclusive(&mut self) -> f64 {
         f64::from(self.0.next_u32()) / f64::from(u32::MAX)
     }
 
     /// A whole number below `count`.
     pub fn below(&mut self, count: u32) -> u32 {
-        (self.unit() * f64::from(count)) as u32
+        (self.uniform() * f64::from(count)) as u32
     }
 
     /// The time to the next arrival of a Poisson process of this rate.
     pub fn interarrival_time(&mut self, rate_per_s: f64) -> Duration {
-        Duration::from_secs_f64(-(1.0 - self.unit()).ln() / rate_per_s)
+        Duration::from_secs_f64(-(1.0 - self.uniform()).ln() / rate_per_s)
     }
 }
--- a/scale/src/real_point/figures.rs
+++ b/scale/src/real_point/figures.rs
@@ -28,21 +28,21 @@
     vec![
         Figure::new("memory_mb", megabytes(measurements.memory)),
         Figure::new("memory_after_load_mb", megabytes(measurements.memory_after_load)),
-        Figure::new("ready_ms", slowest(&measurements.ready_after).map(|time| time.as_secs_f64() * 1e3)),
-        Figure::new("rest_core_share", rest.core_share().map(|share| share / proxies)),
-        Figure::new("changed_line_us", change.cost_us(rest, changed_entries)),
-        Figure::new("request_us", load.cost_us(rest, clients.answered() as f64)),
+        Figure::new("ready_ms", slowest(&measurements.time_to_ready).map(|time| time.as_secs_f64() * 1e3)),
+        Figure::new("rest_core_share", rest.cpu_utilization().map(|share| share / proxies)),
+        Figure::new("changed_line_us", change.cpu_us_per_unit(rest, changed_entries)),
+        Figure::new("request_us", load.cpu_us_per_unit(rest, clients.response_count() as f64)),
         Figure::new("added_p50_us", added_us(0.5)),
         Figure::new("added_p99_us", added_us(0.99)),
         Figure::new("added_p999_us", added_us(0.999)),
         Figure::new("added_worst_us", added_us(1.0)),
-        Figure::new("pause_ms", Some(clients.longest_pause.as_secs_f64() * 1e3)),
+        Figure::new("pause_ms", Some(clients.longest_response_gap.as_secs_f64() * 1e3)),
     ]
 }
 
 /// The longest time; none where one of the proxies did not become ready.
-fn slowest(ready_after: &[Option<Duration>]) -> Option<Duration> {
-    let times = ready_after.iter().copied().collect::<Option<Vec<Duration>>>()?;
+fn slowest(time_to_ready: &[Option<Duration>]) -> Option<Duration> {
+    let times = time_to_ready.iter().copied().collect::<Option<Vec<Duration>>>()?;
     times.into_iter().max()
 }
 
@@ -77,40 +77,40 @@
 }
 
 fn checks(measurements: &Measurements) -> Vec<Check> {
-    let Measurements { ready_after, clients, backends, exit_codes, .. } = measurements;
-    let ready = ready_after.iter().flatten().count();
+    let Measurements { time_to_ready, clients, backends, exit_codes, .. } = measurements;
+    let ready = time_to_ready.iter().flatten().count();
     let clean_exits = exit_codes.iter().filter(|code| **code == Some(0)).count();
     vec![
         Check {
             name: "every proxy becomes ready",
-            holds: ready == ready_after.len(),
-            seen: format!("{ready} of {}", ready_after.len()),
+            passed: ready == time_to_ready.len(),
+            observed: format!("{ready} of {}", time_to_ready.len()),
         },
         answers_check(measurements),
         Check {
             name: "something is served",
-            holds: clients.planned == 0 || clients.served > 0,
-            seen: format!("{} of {}", clients.served, clients.planned),
+            passed: clients.planned == 0 || clients.served > 0,
+            observed: format!("{} of {}", clients.served, clients.planned),
         },
         backends.drain_check(),
         Check {
             name: "SIGTERM ends every proxy with code 0",
-            holds: clean_exits == exit_codes.len(),
-            seen: format!("{clean_exits} of {}", exit_codes.len()),
+            passed: clean_exits == exit_codes.len(),
+            observed: format!("{clean_exits} of {}", exit_codes.len()),
         },
     ]
 }
 
 fn answers_check(measurements: &Measurements) -> Check {
     let clients = &measurements.clients;
-    let owed = clients.planned - clients.unsent;
-    let answered = clients.answered();
+    let sent = clients.planned - clients.unsent;
+    let responses = clients.response_count();
     Check {
         name: "every request taken has one final answer",
-        holds: clients.lost == 0 && clients.unexpected == 0 && answered == owed,
-        seen: format!(
-            "{answered} answers to {owed}, {} lost, {} unasked, {} unsent",
-            clients.lost, clients.unexpected, clients.unsent
+        passed: clients.lost == 0 && clients.unexpected_messages == 0 && responses == sent,
+        observed: format!(
+            "{responses} answers to {sent}, {} lost, {} unasked, {} unsent",
+            clients.lost, clients.unexpected_messages, clients.unsent
         ),
     }
 }
--- a/scale/src/real_point/measurements.rs
+++ b/scale/src/real_point/measurements.rs
@@ -9,7 +9,7 @@
 /// What was measured of the point.
 pub(super) struct Measurements {
     /// From its start to its readiness, for each proxy; none for one that did not come so far.
-    pub ready_after: Vec<Option<Duration>>,
+    pub time_to_ready: Vec<Option<Duration>>,
     /// Mean memory of the proxies before the load, in bytes.
     pub memory: Option<f64>,
     /// The same after it.
--- a/scale/src/real_point/mod.rs
+++ b/scale/src/real_point/mod.rs
@@ -56,7 +56,7 @@
 }
 
 /// What the point runs on.
-struct Site {
+struct Deployment {
     /// Dropped first: the proxies end before their discovery does.
     proxies: Rc<ProxyProcesses>,
     discovery: Rc<Discovery>,
@@ -85,26 +85,28 @@
 ) -> Result<PointResult, RealPointError> {
     let listeners = backends::listen(point.backends)?;
     let addresses = listeners.addresses.clone();
-    let backends = Arc::new(BackendFleet::new(addresses.len(), BackendBehavior::of(point), point.seed));
-    let (_stops_backends, shutdown) = tokio::sync::watch::channel(());
+    let backends =
+        Arc::new(BackendFleet::new(addresses.len(), BackendBehavior::for_point(point), point.seed));
+    let (_backend_shutdown, shutdown) = tokio::sync::watch::channel(());
     backends::serve(&backends, listeners, &shutdown)?;
-    let discovery = Rc::new(Discovery::start(EndpointList::new(point, &addresses), CallCosts::of(point))?);
-    let cached_list = point.known.then(|| snapshot(&discovery));
+    let discovery =
+        Rc::new(Discovery::start(EndpointList::new(point, &addresses), CallCosts::for_point(point))?);
+    let cached_list = point.known.then(|| endpoint_list_json(&discovery));
     let proxies =
         ProxyProcesses::start(point, program, directory.path(), discovery.address(), cached_list.as_ref())?;
-    let site = Site { proxies: Rc::new(proxies), discovery, backends };
-    let measurements = site.run_phases(point).await?;
+    let deployment = Deployment { proxies: Rc::new(proxies), discovery, backends };
+    let measurements = deployment.run_phases(point).await?;
     Ok(figures::result(point, &measurements))
 }
 
 /// The endpoint list as JSON.
-fn snapshot(discovery: &Discovery) -> Value {
+fn endpoint_list_json(discovery: &Discovery) -> Value {
     serde_json::from_slice(&discovery.snapshot().body).unwrap_or_default()
 }
 
-impl Site {
+impl Deployment {
     async fn run_phases(&self, point: &Point) -> Result<Measurements, RealPointError> {
-        let ready_after =
+        let time_to_ready =
             readiness::wait_until_ready(&self.proxies, Duration::from_secs_f64(point.ready_s)).await;
         sleep(SETTLE_TIME).await;
         let memory = self.proxies.mean_memory_bytes();
@@ -115,7 +117,7 @@
         let memory_after_load = self.proxies.mean_memory_bytes();
         let exit_codes = self.proxies.shut_down(Duration::from_millis(point.deadline_ms)).await;
         Ok(Measurements {
-            ready_after,
+            time_to_ready,
             memory,
             memory_after_load,
             rest: rest.phase,
@@ -130,7 +132,7 @@
     }
 
     async fn measure<T>(&self, work: impl Future<Output = T>) -> Measured<T> {
-        phase::measure(&self.discovery, || self.proxies.processor_s(), work).await
+        phase::measure(&self.discovery, || self.proxies.cpu_time_s(), work).await
     }
 
     /// Requests for the time of the load, with its events; ends with the last answer.
@@ -143,7 +145,7 @@
             proxies: Box::new(control),
         };
         events::run(point, Rc::new(targets)).await?;
-        while !clients.are_done() {
+        while !clients.is_finished() {
             sleep(POLL_INTERVAL).await;
         }
         Ok(clients.counters())
--- a/scale/src/real_point/processes.rs
+++ b/scale/src/real_point/processes.rs
@@ -44,7 +44,7 @@
         Ok(ProxyProcesses { processes: RefCell::new(processes) })
     }
 
-    pub fn started(&self) -> Vec<StartedProxy> {
+    pub fn started_proxies(&self) -> Vec<StartedProxy> {
         let started = |process: &ProxyProcess| StartedProxy {
             address: process.address,
             started_at: process.started_at,
@@ -57,8 +57,8 @@
     }
 
     /// Processor time of all proxies, in seconds.
-    pub fn processor_s(&self) -> Option<f64> {
-        self.processes.borrow().iter().map(|process| process.stats().processor_s()).sum()
+    pub fn cpu_time_s(&self) -> Option<f64> {
+        self.processes.borrow().iter().map(|process| process.stats().cpu_time_s()).sum()
     }
 
     /// Mean memory of the proxies, in bytes.
--- a/scale/src/real_point/readiness.rs
+++ b/scale/src/real_point/readiness.rs
@@ -19,17 +19,17 @@
 /// limit.
 pub(super) async fn wait_until_ready(proxies: &ProxyProcesses, limit: Duration) -> Vec<Option<Duration>> {
     let mut tasks = Vec::new();
-    for proxy in proxies.started() {
-        tasks.push(tokio::task::spawn_local(ready_after(proxy, limit)));
+    for proxy in proxies.started_proxies() {
+        tasks.push(tokio::task::spawn_local(time_to_ready(proxy, limit)));
     }
-    let mut ready_after = Vec::new();
+    let mut time_to_ready = Vec::new();
     for task in tasks {
-        ready_after.push(task.await.ok().flatten());
+        time_to_ready.push(task.await.ok().flatten());
     }
-    ready_after
+    time_to_ready
 }
 
-async fn ready_after(proxy: StartedProxy, limit: Duration) -> Option<Duration> {
+async fn time_to_ready(proxy: StartedProxy, limit: Duration) -> Option<Duration> {
     let poll = async {
         while !is_ready(proxy.address).await {
             sleep(POLL_INTERVAL).await;
@@ -40,11 +40,11 @@
 }
 
 async fn is_ready(address: SocketAddr) -> bool {
-    let status_line = ask_readiness(address).await;
+    let status_line = query_readiness(address).await;
     status_line.is_ok_and(|status_line| status_line.ends_with(b" 200"))
 }
 
-async fn ask_readiness(address: SocketAddr) -> io::Result<[u8; STATUS_LENGTH]> {
+async fn query_readiness(address: SocketAddr) -> io::Result<[u8; STATUS_LENGTH]> {
     let mut stream = TcpStream::connect(address).await?;
     stream.write_all(READINESS_REQUEST).await?;
     let mut status_line = [0; STATUS_LENGTH];
--- a/scale/src/report.rs
+++ b/scale/src/report.rs
@@ -9,7 +9,7 @@
 /// A result as one line of JSON.
 pub fn json_line(plan: &Plan, number: usize, result: &PointResult) -> String {
     let figure = |figure: &Figure| (figure.name.to_string(), json!(figure.value));
-    let check = |check: &Check| json!({"name": check.name, "holds": check.holds, "seen": check.seen});
+    let check = |check: &Check| json!({"name": check.name, "holds": check.passed, "seen": check.observed});
     let figures: Map<String, Value> = result.figures.iter().map(figure).collect();
     let checks: Vec<Value> = result.checks.iter().map(check).collect();
     let line = json!({
@@ -70,8 +70,8 @@
 fn push_checks(text: &mut String, result: &PointResult) {
     let label = if result.label.is_empty() { String::new() } else { format!(" {}", result.label) };
     for check in &result.checks {
-        let verdict = if check.holds { "holds " } else { "FAILED" };
-        let _ = writeln!(text, "{verdict} at {}{label}: {} ({})", result.size, check.name, check.seen);
+        let verdict = if check.passed { "holds " } else { "FAILED" };
+        let _ = writeln!(text, "{verdict} at {}{label}: {} ({})", result.size, check.name, check.observed);
     }
 }
 
--- a/scale/src/runner.rs
+++ b/scale/src/runner.rs
@@ -109,10 +109,10 @@
 /// Each result is written as JSON as soon as it is there.
 async fn run_points(plan: &Plan, json: Option<&Path>) -> Result<Vec<PointResult>, RunError> {
     let mut json_lines = json.map(open_json).transpose()?;
-    let host = PointHost::new(plan)?;
+    let point_runner = PointRunner::new(plan)?;
     let mut results = Vec::new();
     for (number, point) in plan.points.iter().enumerate() {
-        let mut result = host.run(point).await?;
+        let mut result = point_runner.run(point).await?;
         result.size = point.size(&plan.over).unwrap_or(0.0);
         if let Some(json_lines) = &mut json_lines {
             writeln!(json_lines, "{}", report::json_line(plan, number, &result))
@@ -134,7 +134,7 @@
 }
 
 /// What the points of a plan are run with.
-struct PointHost {
+struct PointRunner {
     proxies: ProxyKind,
     directory: WorkDirectory,
 }
@@ -145,14 +145,14 @@
     Balancer,
 }
 
-impl PointHost {
-    fn new(plan: &Plan) -> Result<PointHost, RunError> {
+impl PointRunner {
+    fn new(plan: &Plan) -> Result<PointRunner, RunError> {
         let proxies = match plan.kind {
             PlanKind::Real => ProxyKind::Real { program: real_point::find_program(plan.program.as_deref())? },
             PlanKind::Simulated => ProxyKind::Simulated,
             PlanKind::Balancer => ProxyKind::Balancer,
         };
-        Ok(PointHost { proxies, directory: WorkDirectory::create()? })
+        Ok(PointRunner { proxies, directory: WorkDirectory::create()? })
     }
 
     async fn run(&self, point: &Point) -> Result<PointResult, RunError> {
--- a/scale/src/simulated_point/figures.rs
+++ b/scale/src/simulated_point/figures.rs
@@ -36,9 +36,9 @@
         figures.push(Figure::new("return_ready_worst_ms", milliseconds(restart.max_us())));
     }
     figures.extend([
-        Figure::new("rest_core_share_of_all", rest.core_share()),
-        Figure::new("changed_line_us", change.cost_us(rest, changed_entries)),
-        Figure::new("request_us", load.cost_us(rest, proxies.planned as f64)),
+        Figure::new("rest_core_share_of_all", rest.cpu_utilization()),
+        Figure::new("changed_line_us", change.cpu_us_per_unit(rest, changed_entries)),
+        Figure::new("request_us", load.cpu_us_per_unit(rest, proxies.planned as f64)),
         Figure::new("added_p50_us", microseconds(proxies.added_latency.quantile_us(0.5))),
         Figure::new("added_p99_us", microseconds(proxies.added_latency.quantile_us(0.99))),
         Figure::new("added_p999_us", microseconds(proxies.added_latency.quantile_us(0.999))),
@@ -74,8 +74,8 @@
         Figure::count("served", proxies.served),
         Figure::count("refused", proxies.rejected),
         Figure::count("failed", proxies.failed),
-        Figure::count("cut_by_return", proxies.cut_off),
-        Figure::count("came_while_unready", proxies.arrived_unready),
+        Figure::count("cut_by_return", proxies.dropped_at_restart),
+        Figure::count("came_while_unready", proxies.arrived_before_ready),
         Figure::count("attempts", proxies.attempts),
         Figure::count("lost_calls", proxies.subscriptions_lost),
     ];
@@ -88,17 +88,17 @@
     let proxy_count = u64::from(point.proxies);
     let ready_at_end = proxies.time_to_ready.count();
     let answers = proxies.served + proxies.rejected + proxies.failed;
-    let owed = proxies.planned - proxies.cut_off;
+    let expected = proxies.planned - proxies.dropped_at_restart;
     vec![
         Check {
             name: "every proxy has its list at the start, and again after a return",
-            holds: *ready_at_start == proxy_count && ready_at_end == proxy_count,
-            seen: format!("{ready_at_start} of {proxy_count}, {ready_at_end} at the end"),
+            passed: *ready_at_start == proxy_count && ready_at_end == proxy_count,
+            observed: format!("{ready_at_start} of {proxy_count}, {ready_at_end} at the end"),
         },
         Check {
             name: "every request taken has one final answer",
-            holds: answers == owed && proxies.unanswered == 0 && proxies.answered_twice == 0,
-            seen: format!("{answers} answers to {owed}, {} twice", proxies.answered_twice),
+            passed: answers == expected && proxies.unanswered == 0 && proxies.duplicate_answers == 0,
+            observed: format!("{answers} answers to {expected}, {} twice", proxies.duplicate_answers),
         },
         backends.drain_check(),
     ]
--- a/scale/src/simulated_point/mod.rs
+++ b/scale/src/simulated_point/mod.rs
@@ -43,7 +43,7 @@
 }
 
 /// What the point runs on.
-struct Site {
+struct Deployment {
     /// Dropped first: the proxies end before their discovery does.
     proxies: Rc<ProxyFleet>,
     discovery: Rc<Discovery>,
@@ -66,27 +66,29 @@
 pub async fn run(point: &Point) -> Result<PointResult, SimulatedPointError> {
     let addresses: Vec<SocketAddr> =
         (0..point.backends).map(|number| backend_address(number, BACKEND_PORT)).collect();
-    let backends = Arc::new(BackendFleet::new(addresses.len(), BackendBehavior::of(point), point.seed));
+    let backends =
+        Arc::new(BackendFleet::new(addresses.len(), BackendBehavior::for_point(point), point.seed));
     let backend_numbers =
         (0..addresses.len()).map(|number| (backend_id(&backend_name(number)), number)).collect();
-    let discovery = Rc::new(Discovery::start(EndpointList::new(point, &addresses), CallCosts::of(point))?);
+    let discovery =
+        Rc::new(Discovery::start(EndpointList::new(point, &addresses), CallCosts::for_point(point))?);
     // Written before the memory is read: the first response is not the proxies' memory.
     discovery.snapshot();
-    let memory_before = ProcessStats::own().memory_bytes();
+    let memory_before = ProcessStats::for_current_process().memory_bytes();
     let proxies = ProxyFleet::start(point, &backends, backend_numbers, discovery.address())?;
-    let site = Site { proxies: Rc::new(proxies), discovery, backends };
-    let measurements = site.run_phases(point, memory_before).await?;
+    let deployment = Deployment { proxies: Rc::new(proxies), discovery, backends };
+    let measurements = deployment.run_phases(point, memory_before).await?;
     Ok(figures::result(point, &measurements))
 }
 
-impl Site {
+impl Deployment {
     async fn run_phases(
         &self, point: &Point, memory_before: Option<u64>,
     ) -> Result<Measurements, SimulatedPointError> {
         let start = self.measure(self.wait_until_ready(point)).await;
         let time_to_ready = self.proxies.counters().time_to_ready;
         sleep(SETTLE_TIME).await;
-        let memory_after = ProcessStats::own().memory_bytes();
+        let memory_after = ProcessStats::for_current_process().memory_bytes();
         let memory = memory_after.zip(memory_before).map(|(after, before)| after.saturating_sub(before));
         let rest = self.measure(sleep(Duration::from_secs_f64(point.rest_s))).await;
         let change = self.measure(events::change_entries(&self.discovery, point)).await;
@@ -108,7 +110,7 @@
 
     async fn measure<T>(&self, work: impl Future<Output = T>) -> Measured<T> {
         self.discovery.reset_peaks();
-        phase::measure(&self.discovery, || ProcessStats::own().processor_s(), work).await
+        phase::measure(&self.discovery, || ProcessStats::for_current_process().cpu_time_s(), work).await
     }
 
     /// Waits until all proxies have their list, or the time for it is over; how many have.
--- a/scale/src/simulated_proxy/context.rs
+++ b/scale/src/simulated_proxy/context.rs
@@ -32,7 +32,7 @@
     /// The numbers of the backends by their ids.
     pub backend_numbers: Arc<HashMap<BackendId, usize>>,
     pub counters: SharedCounters,
-    pub phase: watch::Receiver<ProxyActivity>,
+    pub activity: watch::Receiver<ProxyActivity>,
     /// Where discovery listens.
     pub discovery: watch::Receiver<SocketAddr>,
     /// How often all proxies were restarted.
--- a/scale/src/simulated_proxy/counters.rs
+++ b/scale/src/simulated_proxy/counters.rs
@@ -18,11 +18,11 @@
     /// Those without an answer some ticks after their deadline.
     pub unanswered: u64,
     /// Further answers to requests that had one.
-    pub answered_twice: u64,
+    pub duplicate_answers: u64,
     /// Requests that came while a proxy had no list: a platform would have sent them elsewhere.
-    pub arrived_unready: u64,
+    pub arrived_before_ready: u64,
     /// Requests that a restarted proxy left without an answer.
-    pub cut_off: u64,
+    pub dropped_at_restart: u64,
     /// Attempts that were dispatched.
     pub attempts: u64,
     /// Losses of the subscription.
@@ -41,9 +41,9 @@
             rejected: 0,
             failed: 0,
             unanswered: 0,
-            answered_twice: 0,
-            arrived_unready: 0,
-            cut_off: 0,
+            duplicate_answers: 0,
+            arrived_before_ready: 0,
+            dropped_at_restart: 0,
             attempts: 0,
             subscriptions_lost: 0,
             added_latency: LatencyHistogram::new()?,
--- a/scale/src/simulated_proxy/endpoint_watch.rs
+++ b/scale/src/simulated_proxy/endpoint_watch.rs
@@ -11,9 +11,9 @@
 use tokio::task::JoinHandle;
 
 /// Changes that may wait for a proxy, which takes them at once.
-const CHANGE_QUEUE: usize = 1_024;
+const CHANGE_QUEUE_CAPACITY: usize = 1_024;
 /// A connection to discovery that is not up after this time does not come up.
-const DIAL_TIMEOUT: Duration = Duration::from_secs(1);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// A change of the endpoint list.
 pub(super) struct EndpointListChange {
@@ -32,11 +32,11 @@
     /// Starts the watch of a proxy as a local task.
     pub fn spawn(config: &Config, discovery: watch::Receiver<SocketAddr>, clock: Clock) -> EndpointWatch {
         let resubscribe = Rc::new(Notify::new());
-        let (sender, changes) = mpsc::channel(CHANGE_QUEUE);
+        let (sender, changes) = mpsc::channel(CHANGE_QUEUE_CAPACITY);
         let task = spawn_watch(WatchOptions {
             address: discovery,
             mode: config.discovery,
-            connect_timeout: DIAL_TIMEOUT,
+            connect_timeout: CONNECT_TIMEOUT,
             drain_notice_limit: Duration::from_micros(STOP_SENDING_US),
             fleet_position: config.fleet_position(),
             resubscribe: resubscribe.clone(),
--- a/scale/src/simulated_proxy/fleet.rs
+++ b/scale/src/simulated_proxy/fleet.rs
@@ -22,7 +22,7 @@
 /// All simulated proxies of a point; dropping it ends their threads.
 pub struct ProxyFleet {
     counters: SharedCounters,
-    phase: watch::Sender<ProxyActivity>,
+    activity: watch::Sender<ProxyActivity>,
     discovery: watch::Sender<SocketAddr>,
     restarts: watch::Sender<u32>,
     threads: Vec<JoinHandle<()>>,
@@ -36,7 +36,7 @@
         discovery: SocketAddr,
     ) -> Result<ProxyFleet, SimulationError> {
         let counters = SharedCounters::new()?;
-        let (phase, phase_receiver) = watch::channel(ProxyActivity::Idle);
+        let (activity, activity_receiver) = watch::channel(ProxyActivity::Idle);
         let (discovery, discovery_receiver) = watch::channel(discovery);
         let (restarts, restarts_receiver) = watch::channel(0);
         let context = ProxyContext {
@@ -44,16 +44,16 @@
             backends: backends.clone(),
             backend_numbers: Arc::new(backend_numbers),
             counters: counters.clone(),
-            phase: phase_receiver,
+            activity: activity_receiver,
             discovery: discovery_receiver,
             restarts: restarts_receiver,
         };
         let mut threads = Vec::new();
         for thread in 0..THREADS {
             let context = context.clone();
-            threads.push(spawn_local_runtime("hollow", move || run_share(thread, context))?);
+            threads.push(spawn_local_runtime("hollow", move || run_proxies(thread, context))?);
         }
-        Ok(ProxyFleet { counters, phase, discovery, restarts, threads })
+        Ok(ProxyFleet { counters, activity, discovery, restarts, threads })
     }
 
     /// What they counted so far.
@@ -74,12 +74,12 @@
 
     /// Requests come for this time.
     pub fn start_load(&self, duration: Duration) {
-        self.phase.send_replace(ProxyActivity::Load { until: Instant::now() + duration });
+        self.activity.send_replace(ProxyActivity::Load { until: Instant::now() + duration });
     }
 
     /// All end once every request has its answer.
     pub fn shut_down(&self) {
-        self.phase.send_replace(ProxyActivity::Shutdown);
+        self.activity.send_replace(ProxyActivity::Shutdown);
     }
 
     /// Whether all have ended.
@@ -89,7 +89,7 @@
 }
 
 /// Runs the proxies of one thread to their end.
-async fn run_share(thread: u32, context: ProxyContext) {
+async fn run_proxies(thread: u32, context: ProxyContext) {
     let mut running = JoinSet::new();
     for proxy_index in (thread..context.point.proxies).step_by(THREADS as usize) {
         match Proxy::new(proxy_index, context.clone()) {
--- a/scale/src/simulated_proxy/proxy/arrivals.rs
+++ b/scale/src/simulated_proxy/proxy/arrivals.rs
@@ -10,7 +10,7 @@
         let point = &self.context.point;
         let rate_per_s = point.rate_per_s / f64::from(point.proxies);
         let wait = Micros(self.random.interarrival_time(rate_per_s).as_micros() as u64);
-        let load_ends_at = match *self.context.phase.borrow() {
+        let load_ends_at = match *self.context.activity.borrow() {
             ProxyActivity::Load { until } => self.clock.time_of(until),
             ProxyActivity::Idle | ProxyActivity::Shutdown => Time(0),
         };
@@ -19,13 +19,13 @@
     }
 
     /// Takes the requests that have come.
-    pub(super) fn take_arrivals(&mut self, now: Time) {
+    pub(super) fn receive_due_requests(&mut self, now: Time) {
         while let Some(arrived_at) = self.next_arrival.filter(|arrival| *arrival <= now) {
             self.schedule_next_arrival();
             if self.is_ready {
                 self.request_arrived(now, arrived_at);
             } else {
-                self.context.counters.lock().arrived_unready += 1;
+                self.context.counters.lock().arrived_before_ready += 1;
             }
         }
     }
--- a/scale/src/simulated_proxy/proxy/attempts.rs
+++ b/scale/src/simulated_proxy/proxy/attempts.rs
@@ -1,7 +1,7 @@
 //! Attempts of a simulated proxy: their dispatch to the backends' model, and their ends.
 
 use super::Proxy;
-use crate::backends::Reception;
+use crate::backends::BackendResponse;
 use load_balancer::{AttemptNumber, AttemptResult, BackendId, Event, Micros, Outcome, RequestId, Time};
 use std::cmp::Reverse;
 use std::time::Instant;
@@ -15,14 +15,14 @@
     pub due_at: Time,
     request: RequestId,
     attempt: AttemptNumber,
-    response: BackendResponse,
+    response: ResponseKind,
     /// How long the backend took.
     service_time: Micros,
 }
 
 /// What a backend responds.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum BackendResponse {
+enum ResponseKind {
     Rejected,
     Served,
 }
@@ -39,10 +39,10 @@
         };
         open.in_flight.insert(attempt, now);
         self.context.counters.lock().attempts += 1;
-        let reception = self.context.backends.request_arrived(*backend_number, Instant::now());
-        let (response, service_time) = match reception {
-            Reception::Served(time) => (BackendResponse::Served, Micros(time.as_micros() as u64)),
-            Reception::Rejected => (BackendResponse::Rejected, REJECTION_TIME),
+        let response = self.context.backends.request_arrived(*backend_number, Instant::now());
+        let (response, service_time) = match response {
+            BackendResponse::Served(time) => (ResponseKind::Served, Micros(time.as_micros() as u64)),
+            BackendResponse::Rejected => (ResponseKind::Rejected, REJECTION_TIME),
         };
         let due_at = now + service_time;
         self.attempt_ends.push(Reverse(AttemptEnd { due_at, request, attempt, response, service_time }));
@@ -67,8 +67,8 @@
         let Some(open) = self.requests.get_mut(&end.request) else { return };
         let Some(dispatched_at) = open.in_flight.remove(&end.attempt) else { return };
         let outcome = match end.response {
-            BackendResponse::Served => Outcome::Success,
-            BackendResponse::Rejected => Outcome::Rejected,
+            ResponseKind::Served => Outcome::Success,
+            ResponseKind::Rejected => Outcome::Rejected,
         };
         if outcome == Outcome::Success && !open.is_answered {
             open.is_answered = true;
--- a/scale/src/simulated_proxy/proxy/decisions.rs
+++ b/scale/src/simulated_proxy/proxy/decisions.rs
@@ -6,7 +6,7 @@
 
 impl Proxy {
     /// Hands all events since the last tick to the balancer.
-    pub(super) fn decide(&mut self, now: Time) {
+    pub(super) fn run_tick(&mut self, now: Time) {
         while let Some(token) = self.timers.take_due(now) {
             self.events.push(Event::TimerFired { token });
         }
@@ -17,16 +17,16 @@
         self.next_tick = Time(now.0 - now.0 % tick.0) + tick;
         let mut actions = Vec::new();
         for event in std::mem::take(&mut self.events) {
-            let event = self.with_present_time_left(now, event);
+            let event = self.with_current_time_left(now, event);
             self.balancer.handle(now, event, &mut actions);
             for action in std::mem::take(&mut actions) {
-                self.carry_out(now, action);
+                self.execute(now, action);
             }
         }
     }
 
     /// An arrival has waited for the tick: its time left is that of now.
-    fn with_present_time_left(&self, now: Time, mut event: Event) -> Event {
+    fn with_current_time_left(&self, now: Time, mut event: Event) -> Event {
         if let Event::RequestArrived(arrival) = &mut event {
             let open = self.requests.get(&arrival.request);
             arrival.time_left = open.map_or(Micros(0), |open| open.deadline - now);
@@ -34,11 +34,11 @@
         event
     }
 
-    fn carry_out(&mut self, now: Time, action: Action) {
+    fn execute(&mut self, now: Time, action: Action) {
         match action {
             Action::Dispatch { request, backend, .. } => self.dispatch(now, request, backend),
-            Action::Reject { request } => self.answer(request, |counters| counters.rejected += 1),
-            Action::Fail { request } => self.answer(request, |counters| counters.failed += 1),
+            Action::Reject { request } => self.record_answer(request, |counters| counters.rejected += 1),
+            Action::Fail { request } => self.record_answer(request, |counters| counters.failed += 1),
             Action::CancelAttempt { request, attempt } => self.cancel_attempt(now, request, attempt),
             Action::SetTimer { token, delay } => self.timers.set(now + delay, token),
             Action::Resubscribe => self.endpoint_watch.resubscribe(),
@@ -47,11 +47,11 @@
     }
 
     /// Counts the balancer's final answer to a request, or that it is not the first.
-    fn answer(&mut self, request: RequestId, count: impl FnOnce(&mut ProxyCounters)) {
+    fn record_answer(&mut self, request: RequestId, count: impl FnOnce(&mut ProxyCounters)) {
         let Some(open) = self.requests.get_mut(&request) else { return };
         let mut counters = self.context.counters.lock();
         if open.is_answered {
-            counters.answered_twice += 1;
+            counters.duplicate_answers += 1;
         } else {
             open.is_answered = true;
             count(&mut counters);
--- a/scale/src/simulated_proxy/proxy/mod.rs
+++ b/scale/src/simulated_proxy/proxy/mod.rs
@@ -24,7 +24,7 @@
 use std::time::Instant;
 
 /// The longest sleep of a proxy that waits for nothing: an hour.
-const LONGEST_SLEEP: Micros = Micros(3_600_000_000);
+const MAX_SLEEP: Micros = Micros(3_600_000_000);
 
 /// A request that is not over.
 struct OpenRequest {
@@ -99,14 +99,14 @@
 
     /// Runs until the fleet shuts down and every request has its answer.
     pub async fn run(mut self) {
-        let mut phase = self.context.phase.clone();
+        let mut activity = self.context.activity.clone();
         let mut restarts = self.context.restarts.clone();
         loop {
             let wakeup = tokio::time::Instant::from_std(self.clock.instant_of(self.next_wakeup()));
             tokio::select! {
                 biased;
-                changed = phase.changed() => match changed {
-                    Ok(()) => self.phase_began(*phase.borrow_and_update()),
+                changed = activity.changed() => match changed {
+                    Ok(()) => self.activity_changed(*activity.borrow_and_update()),
                     Err(_) => return,
                 },
                 Ok(()) = restarts.changed() => {
@@ -120,7 +120,7 @@
                 () = tokio::time::sleep_until(wakeup) => {}
             }
             self.run_due_work();
-            if *self.context.phase.borrow() == ProxyActivity::Shutdown && self.has_answered_all() {
+            if *self.context.activity.borrow() == ProxyActivity::Shutdown && self.has_answered_all() {
                 return;
             }
         }
@@ -130,8 +130,8 @@
         self.requests.values().all(|request| request.is_answered)
     }
 
-    fn phase_began(&mut self, phase: ProxyActivity) {
-        if let ProxyActivity::Load { .. } = phase {
+    fn activity_changed(&mut self, activity: ProxyActivity) {
+        if let ProxyActivity::Load { .. } = activity {
             self.next_arrival = Some(self.clock.now());
             self.schedule_next_arrival();
         }
@@ -139,8 +139,8 @@
 
     /// The proxy as a new process would start, with another seed for each restart; arrivals go on.
     fn restart(self, restart_count: u32) -> Result<Proxy, SimulationError> {
-        let cut_off = self.requests.values().filter(|request| !request.is_answered).count();
-        self.context.counters.lock().cut_off += cut_off as u64;
+        let dropped_at_restart = self.requests.values().filter(|request| !request.is_answered).count();
+        self.context.counters.lock().dropped_at_restart += dropped_at_restart as u64;
         let mut context = self.context.clone();
         context.point.seed = context.point.seed.wrapping_add(u64::from(restart_count));
         let mut restarted = Proxy::new(self.proxy_index, context)?;
@@ -156,16 +156,16 @@
         let decisions = self.timers.next_due().min(arrival).min(events).max(self.next_tick);
         let deadline = self.deadlines.first().map_or(Time::NEVER, |deadline| deadline.due_at);
         let attempt_end = self.attempt_ends.peek().map_or(Time::NEVER, |Reverse(end)| end.due_at);
-        decisions.min(deadline).min(attempt_end).min(self.clock.now() + LONGEST_SLEEP)
+        decisions.min(deadline).min(attempt_end).min(self.clock.now() + MAX_SLEEP)
     }
 
     fn run_due_work(&mut self) {
         let now = self.clock.now();
         self.end_due_attempts(now);
         self.expire_deadlines(now);
-        self.take_arrivals(now);
+        self.receive_due_requests(now);
         if now >= self.next_tick {
-            self.decide(now);
+            self.run_tick(now);
         }
     }
 
--- a/scale/src/site_settings.rs
+++ b/scale/src/site_settings.rs
@@ -17,7 +17,7 @@
 /// The time between two rounds of decisions, in microseconds.
 const TICK_US: u64 = 4_000;
 /// A proxy that has not called discovery for this long counts as notified, in microseconds.
-const MUST_CALL_US: u64 = 10_000_000;
+const MAX_CALL_INTERVAL_US: u64 = 10_000_000;
 /// Quotas of all tenants together, as a multiple of the planned rate.
 const QUOTA_HEADROOM: f64 = 1.5;
 
@@ -45,7 +45,7 @@
         "rules": {
             "cold_from": SLOW_START_INITIAL_FRACTION,
             "fall_multiple": OVERLOAD_MULTIPLE,
-            "must_ask_in_us": MUST_CALL_US,
+            "must_ask_in_us": MAX_CALL_INTERVAL_US,
             "ramp_time_us": SLOW_START_US,
             "stop_sending_within_us": STOP_SENDING_US,
             "tip_after_us": OVERLOAD_WINDOW_US,
--- a/scale/tests/command.rs
+++ b/scale/tests/command.rs
@@ -3,7 +3,7 @@
 use std::process::{Command, Output, Stdio};
 
 /// Runs the command on a plan of this name and text.
-fn run(name: &str, text: &str, options: &[&str]) -> Output {
+fn run_command(name: &str, text: &str, options: &[&str]) -> Output {
     let file = std::env::temp_dir().join(format!("scale-{}-{name}.toml", std::process::id()));
     std::fs::write(&file, text).expect("written");
     let output =
@@ -16,20 +16,23 @@
 const BALANCER_PLAN: &str = "name = \"m\"\nkind = \"module\"\nover = \"backends\"\nlongest_s = 60\n";
 
 #[test]
-fn a_bad_plan_ends_with_code_2_and_one_line_on_standard_error() {
-    let output = run("bad", &format!("{BALANCER_PLAN}[[points]]\nbackends = 8\nclasses = 0\n"), &[]);
+fn invalid_plan_exits_with_code_2_and_one_error_line() {
+    let output = run_command("bad", &format!("{BALANCER_PLAN}[[points]]\nbackends = 8\nclasses = 0\n"), &[]);
     assert_eq!(output.status.code(), Some(2));
     let line = String::from_utf8_lossy(&output.stderr).into_owned();
     assert_eq!(line, "scale-test: points[0].classes: expected a whole number from 1 to 20000\n");
-    let over = run("over", &format!("{BALANCER_PLAN}[[points]]\nbackends = 8\nseeds = 100\n"), &[]);
-    assert_eq!(over.status.code(), Some(2));
-    assert!(String::from_utf8_lossy(&over.stderr).starts_with("scale-test: longest_s: expected at least 100"));
+    let too_long =
+        run_command("over", &format!("{BALANCER_PLAN}[[points]]\nbackends = 8\nseeds = 100\n"), &[]);
+    assert_eq!(too_long.status.code(), Some(2));
+    assert!(
+        String::from_utf8_lossy(&too_long.stderr).starts_with("scale-test: longest_s: expected at least 100")
+    );
 }
 
 #[test]
-fn results_go_out_as_lines_of_json() {
+fn json_option_writes_results_as_json_lines() {
     let point = "[[points]]\nbackends = 8\nseeds = 1\nlabel = \"few\"\n";
-    let output = run("json", &format!("{BALANCER_PLAN}{point}"), &["--json", "-"]);
+    let output = run_command("json", &format!("{BALANCER_PLAN}{point}"), &["--json", "-"]);
     assert_eq!(output.status.code(), Some(0), "{}", String::from_utf8_lossy(&output.stderr));
     let line: serde_json::Value = serde_json::from_slice(&output.stdout).expect("one line of JSON");
     let reported =
@@ -39,7 +42,7 @@
 }
 
 #[test]
-fn an_interrupt_ends_it_at_once_and_is_reported() {
+fn sigint_stops_the_run_and_is_reported() {
     let point = "[[points]]\nbackends = 8\nproxies = 3\nrest_s = 30\n";
     let text = BALANCER_PLAN.replace("module", "hollow").replace("= 60", "= 100");
     let file = std::env::temp_dir().join(format!("scale-{}-interrupt.toml", std::process::id()));
--- a/scale/tests/discovery.rs
+++ b/scale/tests/discovery.rs
@@ -10,37 +10,38 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-const ENTRIES: u32 = 5;
+const BACKEND_COUNT: u32 = 5;
 
 /// Far longer than anything here takes.
-const LONG: Duration = Duration::from_secs(10);
+const READ_TIMEOUT: Duration = Duration::from_secs(10);
 
-fn start(call: Duration, queue: usize) -> Discovery {
+fn start(per_call: Duration, capacity: usize) -> Discovery {
     let head = "name = \"x\"\nkind = \"real\"\nover = \"backends\"\nlongest_s = 60\n";
-    let plan = parse(&format!("{head}[[points]]\nbackends = {ENTRIES}\n")).expect("sound");
-    let addresses: Vec<SocketAddr> = (0..ENTRIES).map(|n| backend_address(n, 80)).collect();
-    let costs = CallCosts { call, entry: Duration::ZERO, queue_capacity: queue, has_agents: false };
+    let plan = parse(&format!("{head}[[points]]\nbackends = {BACKEND_COUNT}\n")).expect("sound");
+    let addresses: Vec<SocketAddr> = (0..BACKEND_COUNT).map(|number| backend_address(number, 80)).collect();
+    let costs =
+        CallCosts { per_call, per_entry: Duration::ZERO, queue_capacity: capacity, has_local_agents: false };
     Discovery::start(EndpointList::new(&plan.points[0], &addresses), costs).expect("started")
 }
 
 /// Waits for what is asked of it on a runtime of this thread.
-fn wait<T>(work: impl std::future::Future<Output = T>) -> T {
+fn block_on<T>(work: impl std::future::Future<Output = T>) -> T {
     tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime").block_on(work)
 }
 
-fn send(to: SocketAddr, path: &str) -> BufReader<TcpStream> {
-    let mut stream = TcpStream::connect(to).expect("a connection");
-    stream.set_read_timeout(Some(LONG)).expect("a limit");
+fn send_request(address: SocketAddr, path: &str) -> BufReader<TcpStream> {
+    let mut stream = TcpStream::connect(address).expect("a connection");
+    stream.set_read_timeout(Some(READ_TIMEOUT)).expect("a limit");
     write!(stream, "GET {path} HTTP/1.1\r\nHost: x\r\n\r\n").expect("sent");
     BufReader::new(stream)
 }
 
 /// The status and the body; none where the connection ends first.
-fn answer(from: &mut BufReader<TcpStream>) -> Option<(u16, Vec<u8>)> {
+fn read_response(connection: &mut BufReader<TcpStream>) -> Option<(u16, Vec<u8>)> {
     let (mut status, mut length) = (0, 0);
     loop {
         let mut line = String::new();
-        from.read_line(&mut line).ok().filter(|n| *n > 0)?;
+        connection.read_line(&mut line).ok().filter(|number| *number > 0)?;
         let line = line.trim_end().to_lowercase();
         if line.is_empty() {
             break;
@@ -48,35 +49,40 @@
         if line.starts_with("http/1.1 ") {
             status = line[9..12].parse().expect("a status");
         }
-        length = line.strip_prefix("content-length: ").map_or(length, |l| l.parse().expect("a length"));
+        length =
+            line.strip_prefix("content-length: ").map_or(length, |value| value.parse().expect("a length"));
     }
     let mut body = vec![0; length];
-    from.read_exact(&mut body).ok()?;
+    connection.read_exact(&mut body).ok()?;
     Some((status, body))
 }
 
-fn list(to: SocketAddr, path: &str) -> Value {
-    let (status, body) = answer(&mut send(to, path)).expect("an answer");
+fn fetch_list(address: SocketAddr, path: &str) -> Value {
+    let (status, body) = read_response(&mut send_request(address, path)).expect("an answer");
     assert_eq!(status, 200);
     serde_json::from_slice(&body).expect("JSON")
 }
 
 #[test]
-fn a_call_returns_the_whole_list_and_a_watch_what_changed() {
+fn list_returns_all_endpoints_and_watch_returns_changes() {
     let discovery = start(Duration::from_micros(100), 100);
-    let whole = list(discovery.address(), "/api/targets");
+    let whole = fetch_list(discovery.address(), "/api/targets");
     assert_eq!((whole["snapshot"].as_bool(), whole["index"].as_u64()), (Some(true), Some(1)));
     let endpoints = whole["endpoints"].as_array().expect("lines");
-    assert_eq!(endpoints.len(), ENTRIES as usize);
+    assert_eq!(endpoints.len(), BACKEND_COUNT as usize);
     let read = read_endpoint_list(&whole);
-    assert_eq!(read.map(|backends| backends.len()), Ok(ENTRIES as usize), "the proxy's own reader takes it");
-    let began = Instant::now();
-    let mut watch = send(discovery.address(), "/api/targets?after=1&wait_ms=9000");
+    assert_eq!(
+        read.map(|backends| backends.len()),
+        Ok(BACKEND_COUNT as usize),
+        "the proxy's own reader takes it"
+    );
+    let started_at = Instant::now();
+    let mut watch = send_request(discovery.address(), "/api/targets?after=1&wait_ms=9000");
     std::thread::sleep(Duration::from_millis(100));
     discovery.update_list(|list| list.set_status(3, EndpointStatus::Draining, 0));
-    let (status, body) = answer(&mut watch).expect("an answer");
+    let (status, body) = read_response(&mut watch).expect("an answer");
     let delta: Value = serde_json::from_slice(&body).expect("JSON");
-    assert!(began.elapsed() < Duration::from_secs(5), "at the change, not at the end of the wait");
+    assert!(started_at.elapsed() < Duration::from_secs(5), "at the change, not at the end of the wait");
     assert_eq!((status, delta["snapshot"].as_bool(), delta["index"].as_u64()), (200, Some(false), Some(2)));
     assert_eq!(delta["endpoints"].as_array().map(Vec::len), Some(1));
     assert_eq!(delta["endpoints"][0]["status"], "draining");
@@ -84,9 +90,9 @@
 }
 
 #[test]
-fn a_watch_without_changes_ends_empty_and_one_of_an_old_version_gets_a_snapshot() {
+fn unchanged_watch_returns_no_endpoints_and_outdated_watch_a_snapshot() {
     let discovery = start(Duration::from_micros(100), 100);
-    let nothing = list(discovery.address(), "/api/targets?after=1&wait_ms=50");
+    let nothing = fetch_list(discovery.address(), "/api/targets?after=1&wait_ms=50");
     assert_eq!(
         (nothing["endpoints"].as_array().map(Vec::len), nothing["index"].as_u64()),
         (Some(0), Some(1))
@@ -96,52 +102,59 @@
             list.toggle_weight(change % 5);
         }
     });
-    let old = list(discovery.address(), "/api/targets?after=1&wait_ms=50");
+    let old = fetch_list(discovery.address(), "/api/targets?after=1&wait_ms=50");
     assert_eq!(old["snapshot"].as_bool(), Some(true), "too many changes ago for a delta");
 }
 
 #[test]
-fn calls_are_handled_one_after_another_and_rejected_once_the_queue_is_full() {
+fn calls_run_sequentially_and_are_rejected_when_the_queue_is_full() {
     let discovery = start(Duration::from_millis(200), 3);
-    let mut calls: Vec<_> = (0..6).map(|_| send(discovery.address(), "/api/targets")).collect();
-    let began = Instant::now();
-    let mut statuses: Vec<u16> = calls.iter_mut().map(|c| answer(c).expect("an answer").0).collect();
+    let mut calls: Vec<_> = (0..6).map(|_| send_request(discovery.address(), "/api/targets")).collect();
+    let started_at = Instant::now();
+    let mut statuses: Vec<u16> =
+        calls.iter_mut().map(|call| read_response(call).expect("an answer").0).collect();
     statuses.sort_unstable();
     assert_eq!(statuses, [200, 200, 200, 503, 503, 503]);
-    assert!(began.elapsed() >= Duration::from_millis(400), "three turns of 200 ms, the first begun before");
+    assert!(
+        started_at.elapsed() >= Duration::from_millis(400),
+        "three turns of 200 ms, the first begun before"
+    );
     let counters = discovery.counters();
     assert_eq!((counters.calls, counters.lists, counters.rejected, counters.longest_queue), (6, 3, 3, 3));
     assert!(counters.bytes_out > counters.bytes_in && counters.bytes_in > 0);
 }
 
 #[test]
-fn discovery_rejects_calls_stays_unresponsive_goes_down_and_recovers() {
+fn discovery_can_reject_calls_stall_go_down_and_recover() {
     let discovery = start(Duration::from_micros(100), 100);
     let address = discovery.address();
-    let mut watch = send(address, "/api/targets?after=1&wait_ms=9000");
+    let mut watch = send_request(address, "/api/targets?after=1&wait_ms=9000");
     std::thread::sleep(Duration::from_millis(100));
-    wait(discovery.set_behavior(DiscoveryBehavior::Reject));
-    assert_eq!(answer(&mut watch).map(|a| a.0), Some(503), "a watch ends with it");
-    assert_eq!(answer(&mut send(address, "/api/targets")).map(|a| a.0), Some(503));
-    wait(discovery.set_behavior(DiscoveryBehavior::Unresponsive));
-    let mut unanswered = send(address, "/api/targets");
+    block_on(discovery.set_behavior(DiscoveryBehavior::Reject));
+    assert_eq!(read_response(&mut watch).map(|response| response.0), Some(503), "a watch ends with it");
+    assert_eq!(
+        read_response(&mut send_request(address, "/api/targets")).map(|response| response.0),
+        Some(503)
+    );
+    block_on(discovery.set_behavior(DiscoveryBehavior::Unresponsive));
+    let mut unanswered = send_request(address, "/api/targets");
     unanswered.get_mut().set_read_timeout(Some(Duration::from_millis(300))).expect("a limit");
-    assert_eq!(answer(&mut unanswered), None, "taken and never answered");
-    wait(discovery.set_behavior(DiscoveryBehavior::Down));
+    assert_eq!(read_response(&mut unanswered), None, "taken and never answered");
+    block_on(discovery.set_behavior(DiscoveryBehavior::Down));
     assert!(TcpStream::connect(address).is_err(), "nobody listens");
-    wait(discovery.set_behavior(DiscoveryBehavior::Serve));
-    assert_eq!(list(address, "/api/targets")["index"].as_u64(), Some(1));
+    block_on(discovery.set_behavior(DiscoveryBehavior::Serve));
+    assert_eq!(fetch_list(address, "/api/targets")["index"].as_u64(), Some(1));
 }
 
 #[test]
-fn discovery_relocates_to_another_port_and_leaves_the_old_one() {
+fn relocation_opens_a_new_port_and_closes_the_old_one() {
     let discovery = start(Duration::from_micros(100), 100);
     let old = discovery.address();
-    let mut watch = send(old, "/api/targets?after=1&wait_ms=9000");
+    let mut watch = send_request(old, "/api/targets?after=1&wait_ms=9000");
     std::thread::sleep(Duration::from_millis(100));
-    let new = wait(discovery.relocate()).expect("moved");
+    let new = block_on(discovery.relocate()).expect("moved");
     assert_ne!(old, new);
-    assert_eq!(list(new, "/api/targets")["index"].as_u64(), Some(1));
+    assert_eq!(fetch_list(new, "/api/targets")["index"].as_u64(), Some(1));
     assert!(TcpStream::connect(old).is_err(), "no new connections");
-    assert_eq!(answer(&mut watch), None, "an open one is closed");
+    assert_eq!(read_response(&mut watch), None, "an open one is closed");
 }
--- a/scale/tests/linear_fit.rs
+++ b/scale/tests/linear_fit.rs
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn the_line_goes_through_all_but_the_largest_point() {
+fn line_is_fitted_to_all_points_but_the_largest() {
     let results = [result(10.0, 300.0), result(1.0, 12.0), result(2.0, 14.0)];
     let prediction = predict(&results, "x").expect("a line");
     assert!((prediction.predicted - 30.0).abs() < 1e-9, "{prediction:?}");
--- a/scale/tests/plans.rs
+++ b/scale/tests/plans.rs
@@ -7,7 +7,7 @@
 const HEAD: &str = "name = \"x\"\nkind = \"real\"\nover = \"backends\"\nlongest_s = 600\n";
 
 /// The one line that a plan gets.
-fn refusal(text: &str) -> String {
+fn parse_error(text: &str) -> String {
     let line = parse(text).expect_err("a bad plan").to_string();
     assert!(!line.contains('\n'), "one line: {line}");
     line
@@ -17,15 +17,16 @@
     format!("{HEAD}[[points]]\nbackends = 20\n{point}\n")
 }
 
-fn sound(text: &str) -> Plan {
+fn parse_valid(text: &str) -> Plan {
     parse(text).expect("a sound plan")
 }
 
 /// A machine of a small size.
-const SMALL: MachineResources = MachineResources { memory: 2_000_000_000, descriptors: 4_096 };
+const SMALL_MACHINE: MachineResources =
+    MachineResources { memory_bytes: 2_000_000_000, file_descriptors: 4_096 };
 
 #[test]
-fn a_bad_plan_is_told_by_the_path_of_its_key_and_what_was_expected() {
+fn invalid_plan_error_names_the_key_and_the_expected_value() {
     let cases = [
         ("name = ".to_string(), "line 1: expected TOML"),
         ("kind = \"real\"\nover = \"backends\"\nlongest_s = 1\n[[points]]\n".into(), "name: missing"),
@@ -52,45 +53,46 @@
         ),
     ];
     for (text, expected) in cases {
-        let line = refusal(&text);
+        let line = parse_error(&text);
         assert!(line.starts_with(expected), "{line:?} does not begin with {expected:?}");
     }
 }
 
 #[test]
-fn the_base_holds_for_every_point_that_says_nothing_else() {
+fn base_values_apply_unless_a_point_overrides_them() {
     let text = format!(
         "{HEAD}[base]\nclasses = 7\n[[points]]\nbackends = 8\n[[points]]\nbackends = 9\nclasses = 8\n"
     );
-    let plan = sound(&text);
+    let plan = parse_valid(&text);
     let sizes: Vec<(u32, u32)> = plan.points.iter().map(|point| (point.backends, point.classes)).collect();
     assert_eq!(sizes, [(8, 7), (9, 8)]);
 }
 
 #[test]
-fn a_plan_over_the_bounds_of_the_machine_is_refused_before_it_starts() {
-    let refused =
-        |text: &str| machine_limits::check(&sound(text), SMALL).expect_err("over the bounds").to_string();
-    assert!(machine_limits::check(&sound(&with_point("")), SMALL).is_ok());
-    let line = refused(&with_point("proxies = 200\nconnections = 1"));
+fn plan_exceeding_machine_limits_is_rejected_before_it_starts() {
+    let machine_error = |text: &str| {
+        machine_limits::check(&parse_valid(text), SMALL_MACHINE).expect_err("over the bounds").to_string()
+    };
+    assert!(machine_limits::check(&parse_valid(&with_point("")), SMALL_MACHINE).is_ok());
+    let line = machine_error(&with_point("proxies = 200\nconnections = 1"));
     assert!(line.starts_with("points[0].proxies: expected fewer than 200 processes"), "{line}");
-    let line = refused(&with_point("proxies = 100"));
+    let line = machine_error(&with_point("proxies = 100"));
     assert!(line.starts_with("points[0].proxies: expected a point within 1000 MB"), "{line}");
-    let line = refused(&with_point("").replace("= 20", "= 5000"));
+    let line = machine_error(&with_point("").replace("= 20", "= 5000"));
     assert!(line.starts_with("points[0].backends: expected at most 4096 descriptors"), "{line}");
-    let line = refused(&with_point("load_s = 900"));
+    let line = machine_error(&with_point("load_s = 900"));
     assert!(line.starts_with("longest_s: expected at least 9"), "{line}");
 }
 
 #[test]
-fn every_plan_of_this_package_is_sound() {
+fn every_plan_in_the_package_is_valid() {
     let directory = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("plans");
     let mut count = 0;
     for file in std::fs::read_dir(directory).expect("plans") {
         let path = file.expect("a file").path();
-        let plan = plan_file::load(&path).unwrap_or_else(|e| panic!("{}: {e}", path.display()));
-        let longest_s = |point| machine_limits::longest_duration_s(plan.kind, point);
-        let seconds: f64 = plan.points.iter().map(longest_s).sum();
+        let plan = plan_file::load(&path).unwrap_or_else(|error| panic!("{}: {error}", path.display()));
+        let max_duration_s = |point| machine_limits::max_duration_s(plan.kind, point);
+        let seconds: f64 = plan.points.iter().map(max_duration_s).sum();
         assert!(seconds <= plan.longest_s, "{}: {seconds}", path.display());
         count += 1;
     }
--- a/scale/tests/simulated_proxies.rs
+++ b/scale/tests/simulated_proxies.rs
@@ -4,7 +4,7 @@
 use scale_test::point_result::PointResult;
 use scale_test::simulated_point;
 
-fn run(point: &str) -> PointResult {
+fn run_point(point: &str) -> PointResult {
     let head = "name = \"x\"\nkind = \"hollow\"\nover = \"proxies\"\nlongest_s = 60\n";
     let base = "[[points]]\nbackends = 40\nproxies = 12\nrate_per_s = 300\nrest_s = 0.2\nchange_s = 0.5\n";
     let plan = parse(&format!("{head}{base}{point}\n")).expect("sound");
@@ -15,25 +15,25 @@
 
 fn assert_checks_hold(result: &PointResult) {
     for check in &result.checks {
-        assert!(check.holds, "{}: {}", check.name, check.seen);
+        assert!(check.passed, "{}: {}", check.name, check.observed);
     }
 }
 
 #[test]
-fn proxies_get_their_list_by_the_real_watch_and_answer_every_request() {
-    let result = run("load_s = 2");
+fn proxies_receive_their_list_and_answer_every_request() {
+    let result = run_point("load_s = 2");
     assert_checks_hold(&result);
-    assert!(result.figure("served").is_some_and(|n| n > 100.0), "{result:?}");
+    assert!(result.figure("served").is_some_and(|value| value > 100.0), "{result:?}");
     // A list each, and the watches of those that have begun theirs when the last is ready.
-    assert!(result.figure("start_calls").is_some_and(|n| (12.0..=24.0).contains(&n)), "{result:?}");
-    assert!(result.figure("change_bytes_per_s").is_some_and(|n| n > 0.0), "{result:?}");
+    assert!(result.figure("start_calls").is_some_and(|value| (12.0..=24.0).contains(&value)), "{result:?}");
+    assert!(result.figure("change_bytes_per_s").is_some_and(|value| value > 0.0), "{result:?}");
 }
 
 #[test]
-fn all_proxies_restart_at_once_without_a_list_during_a_release_of_backends() {
+fn all_proxies_restart_without_a_list_during_a_backend_release() {
     let events = "events = [{ at_s = 0.5, what = \"return\" }, { at_s = 2, what = \"release\", for_s = 5 }]";
-    let result = run(&format!("load_s = 9\ndrain_slack_s = 6\n{events}"));
+    let result = run_point(&format!("load_s = 9\ndrain_slack_s = 6\n{events}"));
     assert_checks_hold(&result);
-    assert!(result.figure("load_lists").is_some_and(|n| n >= 12.0), "{result:?}");
-    assert!(result.figure("cold_sum_of_limit").is_some_and(|n| n > 0.0), "{result:?}");
+    assert!(result.figure("load_lists").is_some_and(|value| value >= 12.0), "{result:?}");
+    assert!(result.figure("cold_sum_of_limit").is_some_and(|value| value > 0.0), "{result:?}");
 }
