--- a/scale/src/backends/fleet.rs
+++ b/scale/src/backends/fleet.rs
@@ -1,4 +1,4 @@
-//! The backends of a point: what becomes of each request, and what is counted of it.
+//! The simulated backends of a point: decides the response to each request and counts requests.
 
 use crate::locking::lock;
 use crate::plan::Point;
@@ -14,28 +14,29 @@
 const OVERLOAD_WINDOW: Duration = Duration::from_micros(OVERLOAD_WINDOW_US);
 const STOP_SENDING: Duration = Duration::from_micros(STOP_SENDING_US);
 
-/// What becomes of a request that reaches a backend.
+/// Response of a backend to a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum BackendResponse {
-    /// It is served after this time.
+    /// The request succeeds after this service time.
     Served(Duration),
-    /// The backend drains or has left: the request is rejected unexecuted.
+    /// The backend is draining or removed and rejects the request without executing it.
     Rejected,
 }
 
-/// How the backends behave, and what their limits count from.
+/// Behavior of the backends, and the parameters of the limits that are checked on them.
 #[derive(Clone, Copy, Debug)]
 pub struct BackendBehavior {
-    /// Mean time of a request.
+    /// Mean service time; single requests take between 0.5 and 1.5 times as long.
     pub mean_service_time: Duration,
-    /// Requests a second that a warm backend can serve.
+    /// Requests per second that a backend can serve after slow start.
     pub capacity_per_s: f64,
-    /// A request may reach a draining backend this much later than the time to stop sending.
+    /// Allowance on top of the time within which proxies must stop sending to a draining backend.
+    /// A request that arrives still later counts as late.
     pub drain_slack: Duration,
 }
 
 impl BackendBehavior {
-    /// The behavior of the backends of a point.
+    /// Returns the behavior that a point's plan specifies.
     pub fn for_point(point: &Point) -> BackendBehavior {
         BackendBehavior {
             mean_service_time: Duration::from_secs_f64(point.service_ms / 1e3),
@@ -45,23 +46,23 @@
     }
 }
 
-/// What all backends counted.
+/// Counters summed over all backends.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct BackendCounters {
-    /// Connections that came up.
+    /// Connections accepted from proxies.
     pub connections: u64,
-    /// Requests that reached them.
+    /// Requests received, including rejected ones.
     pub requests: u64,
-    /// Those rejected.
+    /// Requests rejected because the backend was draining or removed.
     pub rejected: u64,
-    /// Those that reached a draining backend later than allowed.
+    /// Rejected requests that arrived later than the time to stop sending plus the drain slack.
     pub late_requests: u64,
-    /// The most requests that reached a warming backend inside its overload window, as a fraction of its
-    /// limit.
+    /// Highest number of requests that a backend in slow start received within one overload window, as a
+    /// fraction of its limit at that age. See [`slow_start_limit`].
     pub slow_start_peak_ratio: f64,
 }
 
-/// All backends of a point.
+/// The backends of a point; the proxies or the HTTP servers share it between threads.
 pub struct BackendFleet {
     behavior: BackendBehavior,
     state: Mutex<State>,
@@ -76,14 +77,14 @@
 #[derive(Default)]
 struct Backend {
     draining_since: Option<Instant>,
-    /// When it last started; none once it is warm.
+    /// Start of slow start; `None` once slow start is over.
     started_at: Option<Instant>,
-    /// Arrivals inside the overload window; kept only while it warms up.
+    /// Arrivals within the last overload window; only kept during slow start.
     recent_arrivals: VecDeque<Instant>,
 }
 
 impl BackendFleet {
-    /// So many backends, warm and ready.
+    /// Creates `count` ready backends that are past slow start.
     pub fn new(count: usize, behavior: BackendBehavior, seed: u64) -> BackendFleet {
         let state = State {
             backends: std::iter::repeat_with(Backend::default).take(count).collect(),
@@ -97,28 +98,27 @@
         lock(&self.state)
     }
 
-    /// A backend begins to drain.
+    /// Starts draining a backend: from now on it rejects every request.
     pub fn drain(&self, backend: usize) {
         self.lock().backends[backend].draining_since = Some(Instant::now());
     }
 
-    /// A backend starts again and warms up.
+    /// Restarts a backend, which begins slow start.
     pub fn start(&self, backend: usize) {
-        let started = Backend { started_at: Some(Instant::now()), ..Backend::default() };
-        self.lock().backends[backend] = started;
+        let restarted = Backend { started_at: Some(Instant::now()), ..Backend::default() };
+        self.lock().backends[backend] = restarted;
     }
 
-    /// What they counted so far.
+    /// Returns a snapshot of the counters.
     pub fn counters(&self) -> BackendCounters {
         self.lock().counters
     }
 
-    /// Counts a connection to a backend.
     pub(super) fn connection_opened(&self) {
         self.lock().counters.connections += 1;
     }
 
-    /// Counts a request that has reached a backend, and says what becomes of it.
+    /// Counts a request that arrives at a backend and returns the backend's response.
     pub fn request_arrived(&self, backend: usize, now: Instant) -> BackendResponse {
         self.lock().request_arrived(&self.behavior, backend, now)
     }
@@ -138,15 +138,15 @@
             counters.late_requests += u64::from(is_late);
             return BackendResponse::Rejected;
         }
-        // From half to three halves of the mean.
+        // Uniform between 0.5 and 1.5 times the mean.
         let factor = 0.5 + self.random.uniform_inclusive();
         BackendResponse::Served(behavior.mean_service_time.mul_f64(factor))
     }
 }
 
 impl Backend {
-    /// Records an arrival; while the backend warms up, yields the arrivals inside the overload window that
-    /// ends now as a fraction of its limit.
+    /// Records an arrival. During slow start, returns the number of arrivals within the overload window that
+    /// ends now as a fraction of the limit; otherwise returns 0.
     fn record_arrival(&mut self, now: Instant, capacity_per_s: f64) -> f64 {
         let Some(started_at) = self.started_at else { return 0.0 };
         let age = now.saturating_duration_since(started_at);
@@ -155,8 +155,9 @@
             self.recent_arrivals = VecDeque::new();
             return 0.0;
         }
-        let is_past = |arrival: &Instant| now.saturating_duration_since(*arrival) >= OVERLOAD_WINDOW;
-        while self.recent_arrivals.front().is_some_and(is_past) {
+        let is_outside_window =
+            |arrival: &Instant| now.saturating_duration_since(*arrival) >= OVERLOAD_WINDOW;
+        while self.recent_arrivals.front().is_some_and(is_outside_window) {
             self.recent_arrivals.pop_front();
         }
         self.recent_arrivals.push_back(now);
@@ -165,12 +166,14 @@
     }
 }
 
-/// The most requests that may reach a warming backend inside an overload window around this age: what it can
-/// bear, n, and an allowance for the spread of random arrivals, 2 sqrt(n) + 2. The platform's rule, written
-/// independently of the balancer's own on purpose.
+/// Returns the highest number of requests that a backend may receive during slow start within an overload
+/// window centered at `age`: the number n that does not overload it, plus an allowance of 2 sqrt(n) + 2 for
+/// the variance of random arrivals. Implemented independently of the balancer, so that an error in the
+/// balancer's own limit is detected.
 pub fn slow_start_limit(age: Duration, capacity_per_s: f64) -> f64 {
     let progress = (age.as_secs_f64() * 1e6 / SLOW_START_US as f64).min(1.0);
     let capacity_fraction = SLOW_START_INITIAL_FRACTION + (1.0 - SLOW_START_INITIAL_FRACTION) * progress;
-    let bearable = OVERLOAD_MULTIPLE * capacity_fraction * capacity_per_s * OVERLOAD_WINDOW_US as f64 / 1e6;
-    bearable + 2.0 * bearable.sqrt() + 2.0
+    let sustainable =
+        OVERLOAD_MULTIPLE * capacity_fraction * capacity_per_s * OVERLOAD_WINDOW_US as f64 / 1e6;
+    sustainable + 2.0 * sustainable.sqrt() + 2.0
 }
--- a/scale/src/backends/mod.rs
+++ b/scale/src/backends/mod.rs
@@ -1,4 +1,4 @@
-//! Simulated backends: they do no work, take their time for it and count what reaches them.
+//! Simulated backends: they wait for the service time instead of doing work, and count requests.
 
 mod fleet;
 mod results;
--- a/scale/src/backends/results.rs
+++ b/scale/src/backends/results.rs
@@ -1,10 +1,10 @@
-//! What the backends' counters contribute to the result of a point, whatever its proxies are.
+//! Figures and checks from the backends' counters, shared by points with real and with simulated proxies.
 
 use super::BackendCounters;
 use crate::point_result::{Check, Figure};
 
 impl BackendCounters {
-    /// Requests to draining backends, and the sum of all proxies at warming ones.
+    /// Returns the figures on draining backends and on backends in slow start.
     pub fn figures(&self) -> [Figure; 3] {
         [
             Figure::count("sent_to_draining", self.rejected),
@@ -13,12 +13,15 @@
         ]
     }
 
-    /// No request reaches a draining backend later than allowed.
+    /// Checks that no request reached a draining backend after the time limit plus the drain slack.
     pub fn drain_check(&self) -> Check {
         Check {
-            name: "nothing reaches a draining backend past the limit and the slack",
+            name: "no request reaches a draining backend after the time limit plus the slack",
             passed: self.late_requests == 0,
-            observed: format!("{} late of {} while draining", self.late_requests, self.rejected),
+            observed: format!(
+                "{} late of {} requests to draining backends",
+                self.late_requests, self.rejected
+            ),
         }
     }
 }
--- a/scale/src/backends/server.rs
+++ b/scale/src/backends/server.rs
@@ -1,4 +1,4 @@
-//! The HTTP servers of the backends, for proxies that are processes.
+//! HTTP servers of the simulated backends, for proxies that run as processes.
 
 use super::fleet::{BackendFleet, BackendResponse};
 use crate::local_runtime::{spawn_local_runtime, ThreadError};
@@ -19,48 +19,48 @@
 use tokio::net::TcpStream;
 use tokio::sync::watch;
 
-/// The longest request body that is read, in bytes.
+/// Maximum size of a request body, in bytes.
 const MAX_BODY_BYTES: usize = 64 << 10;
-/// Threads that share the backends.
+/// Threads that the backends are distributed over.
 const THREADS: usize = 2;
-/// Wait after a failed accept: a lack of descriptors must not become a busy loop.
+/// Delay after a failed accept, which avoids a busy loop when file descriptors run out.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
-/// A backend's listener could not be opened.
+/// The listening socket of a backend could not be opened.
 #[derive(Debug, thiserror::Error)]
-#[error("backend {backend}: listen on {address}: {source}")]
+#[error("backend {backend}: cannot listen on {address}: {source}")]
 pub struct ListenError {
-    /// The backend.
+    /// Index of the backend.
     pub backend: u32,
-    /// Its address.
+    /// Requested address of the backend.
     pub address: SocketAddr,
-    /// What the system said.
+    /// Error of the system call.
     pub source: io::Error,
 }
 
-/// The body of a request could not be read.
+/// A request body could not be read or is longer than [`MAX_BODY_BYTES`].
 #[derive(Debug, thiserror::Error)]
-#[error("a body: {0}")]
+#[error("cannot read the request body: {0}")]
 struct BodyError(Box<dyn Error + Send + Sync>);
 
-/// Open listeners of all backends.
+/// Listening sockets of all backends.
 pub struct BackendListeners {
     listeners: Vec<TcpListener>,
-    /// Where each backend listens.
+    /// Address of each backend, by index.
     pub addresses: Vec<SocketAddr>,
 }
 
-/// Opens a listener for each backend, on an address of its own.
+/// Opens a listening socket for each backend, each on its own loopback address.
 pub fn listen(count: u32) -> Result<BackendListeners, ListenError> {
-    let mut opened = BackendListeners { listeners: Vec::new(), addresses: Vec::new() };
+    let mut opened_listeners = BackendListeners { listeners: Vec::new(), addresses: Vec::new() };
     for backend in 0..count {
         let address = backend_address(backend, 0);
         let listener = bind(address).map_err(|source| ListenError { backend, address, source })?;
         let bound = listener.local_addr().map_err(|source| ListenError { backend, address, source })?;
-        opened.listeners.push(listener);
-        opened.addresses.push(bound);
+        opened_listeners.listeners.push(listener);
+        opened_listeners.addresses.push(bound);
     }
-    Ok(opened)
+    Ok(opened_listeners)
 }
 
 fn bind(address: SocketAddr) -> io::Result<TcpListener> {
@@ -74,7 +74,7 @@
     listener: TcpListener,
 }
 
-/// Serves all listeners on threads of their own until the sender of `shutdown` is dropped.
+/// Serves all listeners on background threads until the sender of `shutdown` is dropped.
 pub fn serve(
     fleet: &Arc<BackendFleet>, listeners: BackendListeners, shutdown: &watch::Receiver<()>,
 ) -> Result<(), ThreadError> {
@@ -102,7 +102,7 @@
 async fn accept_connections(fleet: Arc<BackendFleet>, backend: usize, listener: TcpListener) {
     let listener = match tokio::net::TcpListener::from_std(listener) {
         Ok(listener) => listener,
-        Err(error) => return tracing::error!("backend {backend}: {error}"),
+        Err(error) => return tracing::error!("backend {backend}: cannot register the listener: {error}"),
     };
     loop {
         match listener.accept().await {
@@ -112,7 +112,7 @@
                 tokio::task::spawn_local(serve_connection(fleet.clone(), backend, stream));
             }
             Err(error) => {
-                tracing::warn!("backend {backend}: accept: {error}");
+                tracing::warn!("backend {backend}: accept failed: {error}");
                 tokio::time::sleep(ACCEPT_BACKOFF).await;
             }
         }
@@ -122,11 +122,12 @@
 async fn serve_connection(fleet: Arc<BackendFleet>, backend: usize, stream: TcpStream) {
     let service = service_fn(|request| respond(fleet.clone(), backend, request));
     if let Err(error) = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await {
-        tracing::debug!("backend {backend}: a connection ended: {error}");
+        tracing::debug!("backend {backend}: connection closed with an error: {error}");
     }
 }
 
-/// Responds after the service time; the body is the time that the backend itself took, in microseconds.
+/// Responds after the service time. The body is the measured service time in microseconds, which the clients
+/// subtract from their latency.
 async fn respond(
     fleet: Arc<BackendFleet>, backend: usize, request: Request<Incoming>,
 ) -> Result<Response<Full<Bytes>>, BodyError> {
@@ -135,14 +136,14 @@
     match fleet.request_arrived(backend, arrived_at) {
         BackendResponse::Served(service_time) => {
             tokio::time::sleep(service_time).await;
-            let taken_us = arrived_at.elapsed().as_micros().to_string();
-            Ok(Response::new(Full::new(Bytes::from(taken_us))))
+            let service_time_us = arrived_at.elapsed().as_micros().to_string();
+            Ok(Response::new(Full::new(Bytes::from(service_time_us))))
         }
         BackendResponse::Rejected => Ok(rejection()),
     }
 }
 
-/// Says that the request was not executed.
+/// Returns a 503 response whose `X-Unprocessed` header states that the request was not executed.
 fn rejection() -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(Bytes::new()));
     *response.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
--- a/scale/src/balancer_point/host.rs
+++ b/scale/src/balancer_point/host.rs
@@ -1,5 +1,5 @@
-//! A host of one balancer with a clock of its own, so that only the balancer's time counts, and a small share
-//! of the host's.
+//! Drives one balancer with a virtual clock, so that the measured time is that of the balancer plus a small
+//! overhead of this driver.
 
 use crate::plan::Point;
 use crate::random::Random;
@@ -12,10 +12,10 @@
 use std::collections::{BinaryHeap, HashMap};
 use std::time::Instant;
 
-/// Where the clock begins.
+/// Initial time of the virtual clock.
 const START_TIME: Time = Time(1_000_000_000);
 
-/// A request that is not over.
+/// A request that has no final answer yet, or has attempts in flight.
 #[derive(Default)]
 struct OpenRequest {
     attempt_count: u32,
@@ -23,7 +23,7 @@
     is_answered: bool,
 }
 
-/// The end of an attempt in flight. The earliest comes first; of equal ones that of the earliest request.
+/// The scheduled end of an attempt in flight, ordered by time, then by request.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct AttemptEnd {
     due_at: Time,
@@ -32,7 +32,7 @@
     dispatched_at: Time,
 }
 
-/// A host of one balancer.
+/// Feeds events to one balancer and executes its actions.
 pub(super) struct Host {
     balancer: Balancer,
     tick: Micros,
@@ -70,14 +70,14 @@
         })
     }
 
-    /// The real time that some work takes, in microseconds.
+    /// Returns the wall-clock time that `work` takes, in microseconds.
     pub fn measure_us(&mut self, work: impl FnOnce(&mut Host)) -> f64 {
         let start = Instant::now();
         work(self);
         start.elapsed().as_secs_f64() * 1e6
     }
 
-    /// Hands an event to the balancer and carries out its actions.
+    /// Passes an event to the balancer and executes the resulting actions.
     pub fn handle(&mut self, event: Event) {
         let mut actions = std::mem::take(&mut self.actions);
         self.balancer.handle(self.now, event, &mut actions);
@@ -96,7 +96,8 @@
         }
     }
 
-    /// Lets time go on to the next arrival, with all that is due before, and hands the request over.
+    /// Advances the clock to the next arrival, processes everything that is due before it, and passes the
+    /// request to the balancer.
     pub fn run_request(&mut self) {
         let wait = self.random.interarrival_time(self.rate_per_s);
         self.advance_to(self.now + Micros(wait.as_micros() as u64));
@@ -115,7 +116,7 @@
         }));
     }
 
-    /// Everything that is due until then, in order.
+    /// Advances the clock to `until` and processes all attempt ends and timers that are due, in order.
     fn advance_to(&mut self, until: Time) {
         loop {
             let attempt_end = self.attempt_ends.peek().map_or(Time::NEVER, |Reverse(end)| end.due_at);
@@ -148,7 +149,7 @@
         }));
     }
 
-    /// A request has its final answer; it is over once no attempt is in flight.
+    /// Records the final answer to a request, and removes the request if no attempt is in flight.
     fn mark_answered(&mut self, request: RequestId) {
         let Some(open) = self.requests.get_mut(&request) else { return };
         open.is_answered = true;
@@ -157,7 +158,8 @@
         }
     }
 
-    /// Ends the attempt that is next to end; a cancelled one ends in its time all the same.
+    /// Ends the earliest attempt in flight with success. Cancelled attempts are not removed and also end
+    /// here.
     fn end_next_attempt(&mut self) {
         let Some(Reverse(end)) = self.attempt_ends.pop() else { return };
         if let Some(open) = self.requests.get_mut(&end.request) {
--- a/scale/src/balancer_point/mod.rs
+++ b/scale/src/balancer_point/mod.rs
@@ -1,5 +1,5 @@
-//! A point with the bare decisions, no sockets at all: time for a request and for a changed entry, over
-//! several seeds.
+//! A point with the balancer alone, without sockets: measures the time per request and per changed entry of
+//! the endpoint list, over several seeds.
 
 mod host;
 
@@ -14,39 +14,39 @@
 use load_balancer::{Backend, BackendState, ConfigError, EndpointListUpdate, Event};
 use std::net::SocketAddr;
 
-/// Requests before the measurement, so that the balancer knows its backends.
+/// Requests before the measurement, so that the balancer has statistics of its backends.
 const WARM_UP_REQUESTS: u32 = 5_000;
-/// Requests that are measured.
 const MEASURED_REQUESTS: u32 = 20_000;
-/// Entries that change one at a time.
+/// Entries of the endpoint list that change, one at a time.
 const CHANGED_ENTRIES: u32 = 5_000;
-/// After so many changed entries a request comes, so that the work of a change is not put off.
+/// Number of changed entries between two requests. The requests make the balancer do work that it defers
+/// after a change.
 const CHANGES_PER_REQUEST: usize = 4;
-/// The port of all backends.
+/// Port of all backends; nothing listens on it.
 const BACKEND_PORT: u16 = 80;
 
 /// Why a point could not be run.
 #[derive(Debug, thiserror::Error)]
 pub enum BalancerPointError {
-    /// The library refused the settings or the list.
+    /// The library rejected the settings or the endpoint list.
     #[error(transparent)]
     Document(#[from] WireError),
-    /// The list is no JSON.
-    #[error("the list: {0}")]
+    /// The endpoint list is not valid JSON.
+    #[error("endpoint list is not valid JSON: {0}")]
     List(serde_json::Error),
-    /// The balancer refused the configuration.
+    /// The balancer rejected the configuration.
     #[error(transparent)]
     Config(#[from] ConfigError),
 }
 
-/// What one seed gave, in microseconds.
+/// Times measured with one seed, in microseconds.
 struct SeedTimes {
     snapshot: f64,
     request: f64,
     changed_entry: f64,
 }
 
-/// How a time is spread over the seeds.
+/// Distribution of a measured time over the seeds.
 struct Spread {
     minimum: Option<f64>,
     median: Option<f64>,
@@ -65,7 +65,7 @@
     }
 }
 
-/// Runs a point: the median over the seeds, with the least and the most.
+/// Runs a point once per seed and reports the median, minimum and maximum over the seeds.
 pub fn run(point: &Point) -> Result<PointResult, BalancerPointError> {
     let mut times = Vec::new();
     for number in 0..u64::from(point.seeds) {
@@ -105,7 +105,7 @@
     })
 }
 
-/// The backends of the point's list, as a proxy reads them.
+/// Returns the backends of the point, decoded from the endpoint list as a proxy does.
 fn backends(point: &Point) -> Result<Vec<Backend>, BalancerPointError> {
     let addresses: Vec<SocketAddr> =
         (0..point.backends).map(|number| backend_address(number, BACKEND_PORT)).collect();
@@ -120,8 +120,8 @@
     }
 }
 
-/// The time that all changed entries took, in microseconds. An entry changes when its backend begins to
-/// drain, and again when it is back: each time the traffic shares are computed anew.
+/// Returns the total time of all changed entries, in microseconds. Each entry changes to draining and back to
+/// ready, and the mean of the two counts; both changes make the balancer recompute the traffic shares.
 fn measure_changes(host: &mut Host, backends: &[Backend]) -> f64 {
     let states = [BackendState::Draining, BackendState::Ready];
     let mut total_us = 0.0;
--- a/scale/src/clients/connection_pool.rs
+++ b/scale/src/clients/connection_pool.rs
@@ -1,4 +1,4 @@
-//! The connections of the clients of one proxy.
+//! Client connections to one proxy.
 
 use super::counters::{RequestOutcome, SharedCounters};
 use super::schedule::PlannedRequest;
@@ -14,16 +14,16 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 
-/// The longest answer that is read, in bytes.
+/// Maximum size of a response body, in bytes.
 const MAX_RESPONSE_BYTES: usize = 64 << 10;
 
 type Connection = SendRequest<Full<Bytes>>;
 
-/// The connections to one proxy: idle ones are used again.
+/// Pool of connections to one proxy that reuses idle connections.
 pub(super) struct ConnectionPool {
     address: SocketAddr,
     max_connections: u32,
-    /// Time in which a client expects its answer.
+    /// Time from the planned send within which a client expects the response.
     deadline: Duration,
     counters: SharedCounters,
     open_count: Cell<u32>,
@@ -44,13 +44,13 @@
         }
     }
 
-    /// Sends a request and reads its answer; sends it once more on a new connection where the proxy closed an
-    /// idle one at the same moment.
+    /// Sends a request and reads its response. If the proxy closes a reused connection before it responds,
+    /// the request is sent once more on a new connection.
     pub async fn exchange(self: Rc<Self>, request: &PlannedRequest) -> RequestOutcome {
         if let Some(connection) = self.take_idle() {
             match self.send(connection, request).await {
                 Err(error) if was_closed_before_response(&error) => self.counters.lock().resent += 1,
-                sent => return outcome_or_lost(request, sent),
+                result => return outcome_or_lost(request, result),
             }
         }
         match self.open().await {
@@ -75,14 +75,14 @@
         Ok(RequestOutcome::Responded { status, service_time })
     }
 
-    /// An idle connection that still stands.
+    /// Takes an idle connection that is still open.
     fn take_idle(&self) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
         idle.retain(|connection| !connection.is_closed());
         idle.pop()
     }
 
-    /// A new connection; none where as many as allowed are open, or the proxy takes none.
+    /// Opens a connection; returns `None` at the connection limit or if the proxy does not accept.
     async fn open(self: &Rc<Self>) -> Option<Connection> {
         if self.open_count.get() >= self.max_connections {
             return None;
@@ -114,24 +114,25 @@
     }
 }
 
-/// Nothing of an answer came: the proxy need not have read the request.
+/// Returns whether the connection closed before any byte of a response, so that the proxy may not have read
+/// the request.
 fn was_closed_before_response(error: &hyper::Error) -> bool {
     error.is_canceled() || error.is_closed() || error.is_incomplete_message()
 }
 
-/// The proxy sent what no request had asked for.
+/// Returns whether the proxy sent data that is not a response to a request.
 fn is_unexpected_message(error: &hyper::Error) -> bool {
     error.is_parse() || error.to_string().contains("unexpected message")
 }
 
-/// The time that the backend took, from the body of its answer.
+/// Parses the service time that the backend writes into the response body.
 fn service_time_us(body: &[u8]) -> Option<u64> {
     std::str::from_utf8(body).ok()?.parse().ok()
 }
 
-fn outcome_or_lost(request: &PlannedRequest, sent: Result<RequestOutcome, hyper::Error>) -> RequestOutcome {
-    sent.unwrap_or_else(|error| {
-        tracing::info!("request {}: {error}", request.id);
+fn outcome_or_lost(request: &PlannedRequest, result: Result<RequestOutcome, hyper::Error>) -> RequestOutcome {
+    result.unwrap_or_else(|error| {
+        tracing::info!("request {} failed: {error}", request.id);
         RequestOutcome::Lost
     })
 }
--- a/scale/src/clients/counters.rs
+++ b/scale/src/clients/counters.rs
@@ -1,4 +1,4 @@
-//! What came of the clients' requests.
+//! Outcomes of the clients' requests.
 
 use crate::latency::{HistogramError, LatencyHistogram};
 use crate::locking::lock;
@@ -6,28 +6,29 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-/// What came of all requests.
+/// Counters over the requests of all clients.
 #[derive(Clone)]
 pub struct ClientCounters {
-    /// Those that were due.
+    /// Requests that became due by the schedule.
     pub planned: u64,
-    /// Those answered with 200.
+    /// Responses with status 200.
     pub served: u64,
-    /// Those answered with 429 or 503.
+    /// Responses with status 429 or 503.
     pub rejected: u64,
-    /// Those answered otherwise.
+    /// Responses with any other status.
     pub failed: u64,
-    /// Those sent whole that never had an answer.
+    /// Requests that were sent and did not receive a complete response in time.
     pub lost: u64,
-    /// Those that the clients could not send: no connection, or too many open.
+    /// Requests that could not be sent: the queue of due requests was full, the connection limit was reached
+    /// or no connection could be opened.
     pub unsent: u64,
-    /// Those sent once more, because their connection was closed as they went out on it.
+    /// Requests sent a second time because the proxy closed the reused connection before it responded.
     pub resent: u64,
-    /// Messages from a proxy that no request had asked for.
+    /// Connections on which a proxy sent data that is not a response to a request.
     pub unexpected_messages: u64,
-    /// Time from the planned send to the answer less the backend's own.
+    /// Time from the planned send to the response minus the backend's service time, for served requests.
     pub added_latency: LatencyHistogram,
-    /// The longest time between two answers.
+    /// Longest time between two consecutive responses.
     pub longest_response_gap: Duration,
     last_response_at: Option<Instant>,
 }
@@ -49,12 +50,12 @@
         })
     }
 
-    /// Requests that a proxy has answered.
+    /// Returns the number of responses of any status.
     pub fn response_count(&self) -> u64 {
         self.served + self.rejected + self.failed
     }
 
-    /// Counts a request that has come to its end.
+    /// Records the outcome of a request.
     pub(super) fn record(&mut self, planned_at: Instant, outcome: RequestOutcome) {
         match outcome {
             RequestOutcome::Unsent => self.unsent += 1,
@@ -83,22 +84,21 @@
     }
 }
 
-/// What came of one request.
+/// Outcome of one request.
 pub(super) enum RequestOutcome {
-    /// It was answered.
+    /// The proxy responded.
     Responded {
-        /// Status of the answer.
         status: StatusCode,
-        /// How long the backend took by its own account.
+        /// Service time that the backend reported; 0 without a report.
         service_time: Duration,
     },
-    /// It was sent and never answered.
+    /// The request was sent and no complete response arrived in time.
     Lost,
-    /// It could not be sent.
+    /// The request could not be sent.
     Unsent,
 }
 
-/// The counters, shared by the threads of the clients.
+/// Counters shared between the client threads.
 #[derive(Clone)]
 pub(super) struct SharedCounters(Arc<Mutex<ClientCounters>>);
 
--- a/scale/src/clients/mod.rs
+++ b/scale/src/clients/mod.rs
@@ -1,5 +1,5 @@
-//! Open-loop clients: requests go out when they are planned, whatever became of those before, and their time
-//! counts from the plan.
+//! Open-loop clients: each request is sent at its planned time, independent of the outcome of earlier
+//! requests, and latency counts from the planned time. This avoids coordinated omission.
 
 mod connection_pool;
 mod counters;
@@ -21,15 +21,15 @@
 use tokio::task::JoinSet;
 use tokio::time::{timeout_at, Instant};
 
-/// Requests that are due and not yet sent; more are counted as unsent.
+/// Maximum number of due requests that wait to be sent; further ones count as unsent.
 const DUE_QUEUE_CAPACITY: usize = 4_096;
-/// No answer is waited for longer than this after the deadline.
+/// How long after its deadline a request still waits for the response.
 const RESPONSE_GRACE_PERIOD: Duration = Duration::from_secs(1);
 
-/// Why the clients could not be started.
+/// Error while starting the clients.
 #[derive(Debug, thiserror::Error)]
 pub enum ClientsError {
-    /// Their latencies cannot be recorded.
+    /// The latency histogram could not be created.
     #[error(transparent)]
     Histogram(#[from] HistogramError),
     /// A thread could not be started.
@@ -37,39 +37,40 @@
     Thread(#[from] ThreadError),
 }
 
-/// Clients at work; they end by themselves.
+/// Running clients; their threads end once every request has an outcome.
 pub struct Clients {
     counters: SharedCounters,
     threads: Vec<JoinHandle<()>>,
 }
 
 impl Clients {
-    /// Starts them: Poisson arrivals over all proxies for the time of the point's load.
+    /// Starts the clients: Poisson arrivals distributed uniformly over the proxies, for the point's load
+    /// phase.
     pub fn start(point: &Point, proxies: &[SocketAddr]) -> Result<Clients, ClientsError> {
         let counters = SharedCounters::new()?;
-        let (sender, due) = mpsc::channel(DUE_QUEUE_CAPACITY);
+        let (sender, due_requests) = mpsc::channel(DUE_QUEUE_CAPACITY);
         let sender_thread = {
             let (proxies, counters) = (proxies.to_vec(), counters.clone());
             let max_connections = point.connections;
             let deadline = Duration::from_millis(point.deadline_ms);
             spawn_local_runtime("clients", move || async move {
                 let pools = connection_pools(proxies, max_connections, deadline, &counters);
-                send_requests(&pools, due, deadline, &counters).await;
+                send_requests(&pools, due_requests, deadline, &counters).await;
             })?
         };
         let schedule_thread = {
             let (point, proxies, counters) = (point.clone(), proxies.len(), counters.clone());
-            spawn_thread("pace", move || schedule::run(&point, proxies, &sender, &counters))?
+            spawn_thread("arrivals", move || schedule::run(&point, proxies, &sender, &counters))?
         };
         Ok(Clients { counters, threads: vec![sender_thread, schedule_thread] })
     }
 
-    /// Whether every request has come to its end.
+    /// Returns whether every request has an outcome.
     pub fn is_finished(&self) -> bool {
         self.threads.iter().all(JoinHandle::is_finished)
     }
 
-    /// What came of the requests so far.
+    /// Returns a snapshot of the counters.
     pub fn counters(&self) -> ClientCounters {
         self.counters.snapshot()
     }
@@ -83,15 +84,15 @@
 }
 
 async fn send_requests(
-    pools: &[Rc<ConnectionPool>], mut due: mpsc::Receiver<PlannedRequest>, deadline: Duration,
+    pools: &[Rc<ConnectionPool>], mut due_requests: mpsc::Receiver<PlannedRequest>, deadline: Duration,
     counters: &SharedCounters,
 ) {
     let mut in_flight = JoinSet::new();
-    while let Some(request) = due.recv().await {
+    while let Some(request) = due_requests.recv().await {
         let (pool, counters) = (pools[request.proxy].clone(), counters.clone());
         in_flight.spawn_local(async move {
-            let limit = Instant::from_std(request.planned_at + deadline + RESPONSE_GRACE_PERIOD);
-            let outcome = timeout_at(limit, pool.exchange(&request)).await;
+            let wait_until = Instant::from_std(request.planned_at + deadline + RESPONSE_GRACE_PERIOD);
+            let outcome = timeout_at(wait_until, pool.exchange(&request)).await;
             counters.lock().record(request.planned_at, outcome.unwrap_or(RequestOutcome::Lost));
         });
         while in_flight.try_join_next().is_some() {}
--- a/scale/src/clients/schedule.rs
+++ b/scale/src/clients/schedule.rs
@@ -1,4 +1,4 @@
-//! When each request is due, and what it is.
+//! The schedule of the clients' requests.
 
 use super::counters::SharedCounters;
 use crate::plan::Point;
@@ -6,9 +6,9 @@
 use std::time::{Duration, Instant};
 use tokio::sync::mpsc;
 
-/// A request that is due.
+/// A request, with the time at which the schedule sends it.
 pub(super) struct PlannedRequest {
-    /// Index of the proxy that it goes to.
+    /// Index of the proxy that receives the request.
     pub proxy: usize,
     pub class: u32,
     pub tenant: Option<u32>,
@@ -16,8 +16,8 @@
     pub planned_at: Instant,
 }
 
-/// Hands each request over when it is due, for the time of the load. On a thread of its own: the runtime's
-/// timers are too coarse.
+/// Passes each request to `sender` at its planned time, until the load phase ends. Blocks the calling thread
+/// and needs one of its own: tokio's timers have a resolution of 1 ms, which is too coarse.
 pub(super) fn run(
     point: &Point, proxies: usize, sender: &mpsc::Sender<PlannedRequest>, counters: &SharedCounters,
 ) {
--- a/scale/src/counted_stream.rs
+++ b/scale/src/counted_stream.rs
@@ -1,4 +1,4 @@
-//! TCP streams that count their bytes.
+//! TCP streams that count the bytes read and written.
 
 use std::pin::Pin;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -7,7 +7,7 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// Bytes that went through streams.
+/// Numbers of bytes read and written, summed over all streams that share these counters.
 #[derive(Debug, Default)]
 pub struct ByteCounters {
     read: AtomicU64,
@@ -15,25 +15,25 @@
 }
 
 impl ByteCounters {
-    /// Bytes read so far.
+    /// Returns the number of bytes read.
     pub fn read(&self) -> u64 {
         self.read.load(Ordering::Relaxed)
     }
 
-    /// Bytes written so far.
+    /// Returns the number of bytes written.
     pub fn written(&self) -> u64 {
         self.written.load(Ordering::Relaxed)
     }
 }
 
-/// A stream whose bytes are counted.
+/// A TCP stream that adds the bytes it transfers to [`ByteCounters`].
 pub struct CountedStream {
     stream: TcpStream,
     counters: Arc<ByteCounters>,
 }
 
 impl CountedStream {
-    /// Counts what goes through `stream` from now on.
+    /// Wraps `stream`; bytes transferred before this call are not counted.
     pub fn new(stream: TcpStream, counters: Arc<ByteCounters>) -> CountedStream {
         CountedStream { stream, counters }
     }
--- a/scale/src/discovery/call.rs
+++ b/scale/src/discovery/call.rs
@@ -1,28 +1,28 @@
-//! What a call asks for, read from its path and query.
+//! Parses discovery calls from their path and query.
 
 use std::time::Duration;
 
-/// The path of the list and of watches on it.
+/// Path of the endpoint list, with and without a watch.
 const ENDPOINT_LIST_PATH: &str = "/api/targets";
-/// The longest wait of a watch.
+/// Maximum wait of a watch; longer ones are shortened to it.
 const MAX_WAIT: Duration = Duration::from_secs(60);
 
-/// A call.
+/// A discovery call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Call {
-    /// For the whole list.
+    /// Requests the complete list.
     List,
-    /// For what changed after a version.
+    /// Requests the changes after a version, and waits for the next one if there are none.
     Watch {
-        /// The version that the caller holds.
+        /// Version of the caller's list.
         after: u64,
-        /// How long it waits for a change.
+        /// Longest wait for a change.
         wait: Duration,
     },
 }
 
 impl Call {
-    /// `None` for a call that the service does not know.
+    /// Returns `None` if the path is unknown or a parameter is not a number.
     pub fn parse(path: &str, query: &str) -> Option<Call> {
         if path != ENDPOINT_LIST_PATH {
             return None;
@@ -33,7 +33,7 @@
     }
 }
 
-/// The value of a parameter of the query.
+/// Returns the value of a query parameter.
 fn parameter<'a>(query: &'a str, name: &str) -> Option<&'a str> {
     let mut parameters = query.split('&').filter_map(|parameter| parameter.split_once('='));
     parameters.find(|(key, _)| *key == name).map(|(_, value)| value)
--- a/scale/src/discovery/call_queue.rs
+++ b/scale/src/discovery/call_queue.rs
@@ -1,4 +1,4 @@
-//! The queue of calls: they are handled one after another, each with its work.
+//! Queue of discovery calls: simulates a server that processes one call at a time.
 
 use super::counters::SharedCounters;
 use crate::plan::{DiscoveryMode, Point};
@@ -7,21 +7,21 @@
 use std::time::Duration;
 use tokio::time::{sleep_until, Instant};
 
-/// What calls cost the service.
+/// Processing cost of calls, and the queue for them.
 #[derive(Clone, Copy, Debug)]
 pub struct CallCosts {
-    /// Work for each call.
+    /// Processing time per call.
     pub per_call: Duration,
-    /// Work for each entry of a response.
+    /// Additional processing time per entry of a response.
     pub per_entry: Duration,
-    /// Calls that may wait in its queue; more are rejected.
+    /// Maximum number of calls in the queue; further ones are rejected.
     pub queue_capacity: usize,
-    /// Each proxy has an agent beside it: calls cost nothing to anybody else.
+    /// Each proxy calls its own local agent, so calls do not queue and take no processing time.
     pub has_local_agents: bool,
 }
 
 impl CallCosts {
-    /// What calls cost the discovery service of a point.
+    /// Returns the costs that a point's plan specifies.
     pub fn for_point(point: &Point) -> CallCosts {
         CallCosts {
             per_call: Duration::from_micros(point.discovery.call_us),
@@ -32,30 +32,30 @@
     }
 }
 
-/// What becomes of a call that finds the queue full.
+/// What happens to a call when the queue is full.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum OverflowPolicy {
-    /// It is rejected.
+    /// The call is rejected.
     Reject,
-    /// It waits all the same: its call was admitted before.
+    /// The call waits in spite of the limit, because it was admitted earlier.
     Wait,
 }
 
-/// The queue was full.
+/// Error for a call that is rejected because the queue is full.
 #[derive(Debug)]
 pub(super) struct QueueFull;
 
-/// Calls that wait for their work to be done.
+/// Calls that wait for their processing time.
 pub(super) struct CallQueue {
     costs: CallCosts,
     counters: Arc<SharedCounters>,
-    /// When the work of all that wait is done.
+    /// When the work of all queued calls is complete.
     idle_at: Cell<Instant>,
     waiting_calls: Cell<u64>,
     call_rate_window: Cell<CallRateWindow>,
 }
 
-/// A second, and the calls that came in it.
+/// Number of calls within the current second.
 #[derive(Clone, Copy)]
 struct CallRateWindow {
     started_at: Instant,
@@ -73,17 +73,17 @@
         }
     }
 
-    /// Work for a call.
+    /// Returns the processing time of a call without its response entries.
     pub fn call_work(&self) -> Duration {
         self.costs.per_call
     }
 
-    /// Work for the entries of a response.
+    /// Returns the additional processing time of `count` response entries.
     pub fn entries_work(&self, count: usize) -> Duration {
         self.costs.per_entry * count as u32
     }
 
-    /// Counts a call that came.
+    /// Counts a call, in total and within the current second.
     pub fn record_call(&self) {
         self.counters.count_call();
         let mut window = self.call_rate_window.get();
@@ -95,7 +95,7 @@
         self.counters.record_call_rate(window.calls);
     }
 
-    /// Waits for the work of all calls before this one and for its own.
+    /// Enqueues `work` and waits until it and all work enqueued before are complete.
     pub async fn complete_work(
         &self, work: Duration, overflow_policy: OverflowPolicy,
     ) -> Result<(), QueueFull> {
@@ -115,8 +115,8 @@
     }
 }
 
-/// A place in the queue, given back however the call ends. The work of a caller that went away is done all
-/// the same.
+/// An occupied slot in the queue, released on drop. The work of a caller that disconnects still occupies the
+/// server until its planned end.
 struct QueueSlot<'a>(&'a Cell<u64>);
 
 impl<'a> QueueSlot<'a> {
--- a/scale/src/discovery/counters.rs
+++ b/scale/src/discovery/counters.rs
@@ -1,35 +1,35 @@
-//! What the discovery service counts.
+//! Counters of the simulated discovery service.
 
 use crate::counted_stream::ByteCounters;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
 
-/// What the service has counted.
+/// Snapshot of the counters.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DiscoveryCounters {
-    /// Calls that came.
+    /// Calls received.
     pub calls: u64,
-    /// Responses to calls for the whole list.
+    /// Calls answered with the complete list, not counting snapshots that answer a watch.
     pub lists: u64,
-    /// Calls that ended with 503.
+    /// Calls answered with status 503.
     pub rejected: u64,
-    /// The longest queue of calls.
+    /// Maximum number of calls in the queue since the peaks were reset.
     pub longest_queue: u64,
-    /// The most calls that came in one second of its clock.
+    /// Maximum number of calls within one second since the peaks were reset.
     pub peak_calls_per_s: u64,
-    /// Bytes written to proxies.
+    /// Bytes sent to proxies.
     pub bytes_out: u64,
-    /// Bytes read from proxies.
+    /// Bytes received from proxies.
     pub bytes_in: u64,
 }
 
 impl DiscoveryCounters {
-    /// Bytes both ways.
+    /// Returns the bytes sent and received.
     pub fn bytes(&self) -> u64 {
         self.bytes_in + self.bytes_out
     }
 
-    /// What was counted since `earlier`, with the peaks as they are now.
+    /// Returns the counts since `earlier`; the peaks are not differences, they keep their present values.
     pub fn since(&self, earlier: &DiscoveryCounters) -> DiscoveryCounters {
         DiscoveryCounters {
             calls: self.calls - earlier.calls,
@@ -42,7 +42,7 @@
     }
 }
 
-/// The counters of a running service.
+/// Counters of a running service, shared with its handle.
 #[derive(Default)]
 pub(super) struct SharedCounters {
     calls: AtomicU64,
@@ -54,7 +54,7 @@
 }
 
 impl SharedCounters {
-    /// The counters of its connections.
+    /// Returns the byte counters that all connections share.
     pub fn bytes(&self) -> Arc<ByteCounters> {
         self.bytes.clone()
     }
--- a/scale/src/discovery/listen_socket.rs
+++ b/scale/src/discovery/listen_socket.rs
@@ -1,14 +1,14 @@
-//! The socket on which the service accepts connections; it may be closed for a while, and move.
+//! Listening socket of the discovery service, which can be closed and reopened on the same address.
 
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 
-/// Wait after a failed accept: a lack of descriptors must not become a busy loop.
+/// Delay after a failed accept, which avoids a busy loop when file descriptors run out.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
-/// Binds a port of 127.0.0.1 that the system chooses.
+/// Binds a port of 127.0.0.1 that the operating system chooses.
 pub(super) fn bind_any_port() -> io::Result<std::net::TcpListener> {
     bind(SocketAddr::from((Ipv4Addr::LOCALHOST, 0)))
 }
@@ -19,7 +19,7 @@
     Ok(listener)
 }
 
-/// An address, and its listener unless it is closed.
+/// A listening address, with its listener unless the socket is closed.
 pub(super) struct ListenSocket {
     address: SocketAddr,
     listener: Option<TcpListener>,
@@ -35,12 +35,12 @@
         self.address
     }
 
-    /// Refuses connections until it is opened again.
+    /// Stops listening: connections are refused until [`open`](Self::open) is called.
     pub fn close(&mut self) {
         self.listener = None;
     }
 
-    /// Listens on its address, if it does not.
+    /// Listens on the same address again; does nothing if the socket is open.
     pub fn open(&mut self) -> io::Result<()> {
         if self.listener.is_none() {
             self.listener = Some(TcpListener::from_std(bind(self.address)?)?);
@@ -48,13 +48,13 @@
         Ok(())
     }
 
-    /// The next connection; `None` after an error. Pending while closed.
+    /// Accepts a connection; returns `None` after an error. Never completes while the socket is closed.
     pub async fn accept(&self) -> Option<TcpStream> {
         let Some(listener) = &self.listener else { return std::future::pending().await };
         match listener.accept().await {
             Ok((stream, _)) => Some(stream),
             Err(error) => {
-                tracing::warn!("discovery: accept: {error}");
+                tracing::warn!("discovery: accept failed: {error}");
                 tokio::time::sleep(ACCEPT_BACKOFF).await;
                 None
             }
--- a/scale/src/discovery/mod.rs
+++ b/scale/src/discovery/mod.rs
@@ -1,5 +1,5 @@
-//! A stand-in of the discovery service with its published protocol: list and watch, calls handled one after
-//! another, and its failures.
+//! Simulated discovery service that implements the list and watch protocol, processes one call at a time, and
+//! can be made to fail.
 
 mod call;
 mod call_queue;
@@ -22,24 +22,24 @@
 use std::sync::{Arc, Mutex};
 use tokio::sync::{mpsc, oneshot, watch};
 
-/// Commands that may wait for the server.
+/// Maximum number of commands that wait for the server thread.
 const COMMAND_QUEUE_CAPACITY: usize = 16;
 
-/// Why the service could not be started or relocated.
+/// Error while starting or relocating the service.
 #[derive(Debug, thiserror::Error)]
 pub enum DiscoveryError {
-    /// Its socket could not be opened.
-    #[error("discovery: {0}")]
+    /// The listening socket could not be opened.
+    #[error("discovery: cannot listen: {0}")]
     Socket(io::Error),
-    /// Its thread could not be started.
+    /// The server thread could not be started.
     #[error(transparent)]
     Thread(#[from] ThreadError),
-    /// Its thread has ended.
-    #[error("discovery has ended")]
+    /// The server thread has ended.
+    #[error("discovery: the server thread has ended")]
     Ended,
 }
 
-/// A running service; dropping it ends its thread.
+/// Handle of a running service; dropping it stops the server thread.
 pub struct Discovery {
     address: Mutex<SocketAddr>,
     list: Arc<Mutex<EndpointList>>,
@@ -49,7 +49,7 @@
 }
 
 impl Discovery {
-    /// Starts the service on a port of 127.0.0.1 that the system chooses.
+    /// Starts the service on a port of 127.0.0.1 that the operating system chooses.
     pub fn start(list: EndpointList, costs: CallCosts) -> Result<Discovery, DiscoveryError> {
         let (version, versions) = watch::channel(list.version());
         let (commands, received_commands) = mpsc::channel(COMMAND_QUEUE_CAPACITY);
@@ -61,18 +61,18 @@
         spawn_local_runtime("discovery", move || async move {
             let server = Server::new(served_list, versions, costs, served_counters);
             if let Err(error) = Rc::new(server).run(listener, received_commands).await {
-                tracing::error!("discovery: {error}");
+                tracing::error!("discovery: server stopped: {error}");
             }
         })?;
         Ok(Discovery { address: Mutex::new(address), list, version, commands, counters })
     }
 
-    /// Where it listens.
+    /// Returns the address on which the service listens.
     pub fn address(&self) -> SocketAddr {
         *lock(&self.address)
     }
 
-    /// Changes the list; watches see it at once.
+    /// Updates the endpoint list and wakes the waiting watches.
     pub fn update_list(&self, update: impl FnOnce(&mut EndpointList)) {
         let version = {
             let mut list = lock(&self.list);
@@ -82,12 +82,12 @@
         self.version.send_replace(version);
     }
 
-    /// The response to a call for the whole list.
+    /// Returns the response to a call for the complete list, without counting a call.
     pub fn snapshot(&self) -> ListResponse {
         lock(&self.list).response(None)
     }
 
-    /// What it does with calls from now on.
+    /// Changes how the service handles calls; returns once the change is effective.
     pub async fn set_behavior(&self, behavior: DiscoveryBehavior) {
         let (done, done_receiver) = oneshot::channel();
         if self.commands.send(Command::SetBehavior { behavior, done }).await.is_ok() {
@@ -95,8 +95,8 @@
         }
     }
 
-    /// Moves it to another port, which it returns; the old one takes no new connections and closes the open
-    /// ones a little later.
+    /// Moves the service to another port and returns the new address. The old port refuses new connections at
+    /// once; its open connections are closed after a delay.
     pub async fn relocate(&self) -> Result<SocketAddr, DiscoveryError> {
         let (done, done_receiver) = oneshot::channel();
         self.commands.send(Command::Relocate { done }).await.map_err(|_| DiscoveryError::Ended)?;
@@ -106,12 +106,12 @@
         Ok(address)
     }
 
-    /// What it has counted so far.
+    /// Returns a snapshot of the counters.
     pub fn counters(&self) -> DiscoveryCounters {
         self.counters.snapshot()
     }
 
-    /// Begins the peaks anew, so that those of one phase do not count for the next.
+    /// Resets the peak values, so that each phase has its own.
     pub fn reset_peaks(&self) {
         self.counters.reset_peaks();
     }
--- a/scale/src/discovery/server.rs
+++ b/scale/src/discovery/server.rs
@@ -1,4 +1,4 @@
-//! The server of the discovery service: its connections, and its responses to calls.
+//! Server of the simulated discovery service: accepts connections and responds to calls.
 
 use super::call::Call;
 use super::call_queue::{CallCosts, CallQueue, OverflowPolicy, QueueFull};
@@ -27,44 +27,44 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, timeout};
 
-/// The connections of an address that the service has left are closed this much later.
+/// Delay between a relocation and the close of the connections to the old address.
 const RELOCATION_CLOSE_DELAY: Duration = Duration::from_millis(1_500);
-/// Open connections at one address; more are closed unheard.
+/// Maximum number of open connections per address; further ones are closed without a response.
 const MAX_CONNECTIONS: usize = 8_192;
 
-/// What the service does with calls.
+/// How the service handles calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoveryBehavior {
-    /// Responds to them.
+    /// Responds to calls.
     Serve,
-    /// Ends them with 503, also the watches that wait.
+    /// Answers calls with status 503, including watches that are already waiting.
     Reject,
-    /// Takes them and does not respond.
+    /// Accepts calls and never responds.
     Unresponsive,
-    /// Refuses connections and breaks open ones.
+    /// Refuses connections and closes the open ones.
     Down,
 }
 
-/// What the handle of the service asks of its thread.
+/// Command from the service's handle to the server thread.
 pub(super) enum Command {
-    /// Take up another behavior.
+    /// Changes how calls are handled.
     SetBehavior {
         behavior: DiscoveryBehavior,
-        /// Fires once it has.
+        /// Notified once the change is effective.
         done: oneshot::Sender<()>,
     },
-    /// Move to another port.
+    /// Moves to another port.
     Relocate {
-        /// Receives the new address.
+        /// Receives the new address or the error.
         done: oneshot::Sender<io::Result<SocketAddr>>,
     },
 }
 
-/// A call that gets no list.
+/// Error of a call that is not answered with a list.
 enum CallError {
-    /// No such resource.
+    /// The path or a parameter is invalid; answered with status 404.
     NotFound,
-    /// The service rejects it.
+    /// The queue is full or the service rejects calls; answered with status 503.
     Rejected,
 }
 
@@ -74,14 +74,14 @@
     }
 }
 
-/// What the thread of the service holds.
+/// State of the server thread.
 pub(super) struct Server {
     list: Arc<Mutex<EndpointList>>,
     versions: watch::Receiver<u64>,
     counters: Arc<SharedCounters>,
     behavior: watch::Sender<DiscoveryBehavior>,
     queue: CallQueue,
-    /// Open connections by the port that took them; dropping a set breaks its connections.
+    /// Open connections by local port; dropping a set closes its connections.
     connections: RefCell<BTreeMap<u16, JoinSet<()>>>,
 }
 
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Serves until the sender of commands is dropped.
+    /// Runs until the sender of commands is dropped.
     pub async fn run(
         self: Rc<Self>, listener: std::net::TcpListener, mut commands: mpsc::Receiver<Command>,
     ) -> io::Result<()> {
@@ -148,10 +148,10 @@
 
     fn connection_accepted(self: Rc<Self>, stream: TcpStream, address: SocketAddr) {
         let mut connections = self.connections.borrow_mut();
-        let open = connections.entry(address.port()).or_default();
-        while open.try_join_next().is_some() {}
-        if open.len() < MAX_CONNECTIONS {
-            open.spawn_local(self.clone().serve_connection(stream));
+        let open_connections = connections.entry(address.port()).or_default();
+        while open_connections.try_join_next().is_some() {}
+        if open_connections.len() < MAX_CONNECTIONS {
+            open_connections.spawn_local(self.clone().serve_connection(stream));
         }
     }
 
@@ -160,7 +160,7 @@
         let stream = CountedStream::new(stream, self.counters.bytes());
         let service = service_fn(|request| self.clone().respond(request));
         if let Err(error) = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await {
-            tracing::debug!("discovery: a connection ended: {error}");
+            tracing::debug!("discovery: connection closed with an error: {error}");
         }
     }
 
@@ -210,20 +210,20 @@
         self.require_serving().await
     }
 
-    /// Waits until a version other than `after` is in force, or the wait is over: both get a response.
+    /// Waits until the current version differs from `after` or the wait has elapsed; both cases are answered.
     async fn wait_for_change(&self, after: u64, wait: Duration) -> Result<(), CallError> {
         let mut versions = self.versions.clone();
         let mut behavior = self.behavior.subscribe();
         tokio::select! {
             waited = timeout(wait, versions.wait_for(|version| *version != after)) => {
-                tracing::trace!("discovery: a watch ends, changed {}", waited.is_ok());
+                tracing::trace!("discovery: watch completed, list changed: {}", waited.is_ok());
             }
             _ = behavior.wait_for(|behavior| *behavior != DiscoveryBehavior::Serve) => {}
         }
         self.require_serving().await
     }
 
-    /// Returns at once where the service responds or rejects, and never while it is unresponsive.
+    /// Returns at once if the service responds or rejects calls; never completes if it is unresponsive.
     async fn require_serving(&self) -> Result<(), CallError> {
         let behavior = *self.behavior.borrow();
         match behavior {
--- a/scale/src/endpoint_list.rs
+++ b/scale/src/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list of a site with its versions, and the responses of discovery that carry it.
+//! Versioned endpoint list, and the discovery responses that contain it.
 
 use crate::naming::{backend_name, kind_name, zone_name};
 use crate::plan::Point;
@@ -7,21 +7,21 @@
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
-/// Responses kept for callers that hold the same version.
+/// Maximum number of cached responses; callers with the same version share one.
 const MAX_CACHED_RESPONSES: usize = 32;
-/// Backends of one cell; cells share which idempotency keys they have seen.
+/// Backends per cell. The backends of a cell share the set of idempotency keys that they have seen.
 const BACKENDS_PER_CELL: usize = 8;
-/// The weights between which [`EndpointList::toggle_weight`] changes.
+/// The two weights that [`EndpointList::toggle_weight`] alternates between.
 const WEIGHTS: [f64; 2] = [1.0, 1.5];
 
-/// What an entry says that its backend may be sent.
+/// Status of a backend in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointStatus {
-    /// Requests.
+    /// Receives requests.
     Ready,
-    /// Nothing new.
+    /// Completes its requests and must not receive new ones.
     Draining,
-    /// It has left.
+    /// The backend is gone: deltas report it, snapshots omit it.
     Removed,
 }
 
@@ -29,39 +29,39 @@
 struct Endpoint {
     address: SocketAddr,
     status: EndpointStatus,
-    /// Unix milliseconds; 0 means long ago.
+    /// Unix milliseconds; 0 for a backend that is past slow start.
     started_at_ms: u64,
     weight: f64,
 }
 
-/// The list in all its versions.
+/// The endpoint list, with the latest changes from which deltas are computed.
 pub struct EndpointList {
     version: u64,
     endpoints: Vec<Endpoint>,
     zones: usize,
     kinds: usize,
-    /// Which entry each version changed, the latest last.
+    /// Index of the backend that each version changed, oldest first; at most as many as there are endpoints.
     changed_backends: VecDeque<usize>,
     responses: VecDeque<CachedResponse>,
 }
 
 struct CachedResponse {
-    /// It holds the changes after this version; `None` for a snapshot.
+    /// Version on which the delta is based; `None` for a snapshot.
     after: Option<u64>,
     response: ListResponse,
 }
 
-/// A response of discovery.
+/// A discovery response.
 #[derive(Clone, Debug)]
 pub struct ListResponse {
-    /// The body, as JSON.
+    /// JSON body.
     pub body: Bytes,
-    /// Entries in it.
+    /// Number of entries in the body.
     pub entries: usize,
 }
 
 impl EndpointList {
-    /// The list of a point with these addresses, all of them ready for long.
+    /// Creates version 1 of a point's list: the backends at `addresses`, all ready and past slow start.
     pub fn new(point: &Point, addresses: &[SocketAddr]) -> EndpointList {
         let endpoint = |address: &SocketAddr| Endpoint {
             address: *address,
@@ -79,12 +79,12 @@
         }
     }
 
-    /// The version in force.
+    /// Returns the current version.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Changes the status of a backend; `started_at_ms` is in Unix milliseconds, 0 for long ago.
+    /// Sets the status of a backend. `started_at_ms` is in Unix milliseconds; 0 means past slow start.
     pub fn set_status(&mut self, backend: usize, status: EndpointStatus, started_at_ms: u64) {
         let Some(endpoint) = self.endpoints.get_mut(backend) else { return };
         endpoint.status = status;
@@ -92,7 +92,8 @@
         self.record_change(backend);
     }
 
-    /// Changes the weight of a backend: where weights are rough no decision depends on it.
+    /// Alternates the weight of a backend. With the setting `weight_source` at `rough`, no decision depends
+    /// on weights, so this changes the list without changing the traffic.
     pub fn toggle_weight(&mut self, backend: usize) {
         let Some(endpoint) = self.endpoints.get_mut(backend) else { return };
         endpoint.weight = if endpoint.weight > WEIGHTS[0] { WEIGHTS[0] } else { WEIGHTS[1] };
@@ -108,13 +109,13 @@
         self.responses.clear();
     }
 
-    /// How many entries such a response has at most, without writing it.
+    /// Returns an upper bound of the number of entries in [`response`](Self::response), without building it.
     pub fn entry_count(&self, after: Option<u64>) -> usize {
         after.and_then(|version| self.change_count_since(version)).unwrap_or(self.endpoints.len())
     }
 
-    /// The response to a caller that holds this version, or none: a delta where the changes since are known,
-    /// else a snapshot.
+    /// Returns the response to a caller with version `after`, or with no list: a delta if all changes since
+    /// that version are known, a snapshot otherwise.
     pub fn response(&mut self, after: Option<u64>) -> ListResponse {
         let after = after.filter(|version| self.change_count_since(*version).is_some());
         if let Some(cached) = self.responses.iter().find(|cached| cached.after == after) {
@@ -128,7 +129,7 @@
         response
     }
 
-    /// How many changes followed a version; none where they are not known any more.
+    /// Returns the number of changes after a version, or `None` if they are no longer known.
     fn change_count_since(&self, version: u64) -> Option<usize> {
         let count = usize::try_from(self.version.checked_sub(version)?).ok()?;
         Some(count).filter(|count| *count <= self.changed_backends.len())
@@ -149,7 +150,7 @@
         (0..self.endpoints.len()).filter(is_listed)
     }
 
-    /// The backends of the last changes, each once.
+    /// Returns the backends of the last `count` changes, each once.
     fn last_changed(&self, count: usize) -> Vec<usize> {
         let skipped = self.changed_backends.len() - count;
         let mut changed: Vec<usize> = self.changed_backends.iter().skip(skipped).copied().collect();
--- a/scale/src/events.rs
+++ b/scale/src/events.rs
@@ -1,5 +1,5 @@
-//! What happens to a fleet while requests come: releases of backends, outages and moves of discovery,
-//! restarts.
+//! Events during a point's load phase: releases of backends, outages and relocations of discovery, restarts
+//! of proxies.
 
 use crate::backends::BackendFleet;
 use crate::discovery::{Discovery, DiscoveryBehavior, DiscoveryError};
@@ -14,18 +14,18 @@
 use tokio::task::{JoinError, JoinSet};
 use tokio::time::{sleep, sleep_until, Instant};
 
-/// The time between two updates of the list while entries change.
+/// Time between two updates of the endpoint list while entries change.
 const UPDATE_INTERVAL: Duration = Duration::from_millis(50);
-/// A backend of a release drains for this long before it leaves ...
+/// How long a backend drains during a release before it is removed from the list.
 const DRAIN_TIME: Duration = Duration::from_millis(2_000);
-/// ... and starts again this long after it began to drain.
+/// Time from the start of draining to the restart of a backend during a release.
 const RESTART_DELAY: Duration = Duration::from_millis(2_500);
 
-/// Why an event could not be run.
+/// Error while running an event.
 #[derive(Debug, thiserror::Error)]
 pub enum EventError {
-    /// Its task panicked.
-    #[error("an event: {0}")]
+    /// The event's task panicked.
+    #[error("event failed: {0}")]
     Panicked(JoinError),
     /// Discovery could not be relocated.
     #[error(transparent)]
@@ -33,20 +33,20 @@
     /// A proxy could not be signalled.
     #[error(transparent)]
     Process(#[from] ProcessError),
-    /// Proxies that are processes are not restarted.
-    #[error("processes do not return in this mode")]
+    /// The event requires a restart of proxies that run as processes.
+    #[error("event `return` is not supported for proxies that run as processes")]
     RestartUnsupported,
 }
 
-/// What events do to the proxies of a fleet.
+/// Actions of events on the proxies of a point.
 pub trait ProxyControl {
-    /// Gives all proxies the new address of discovery.
+    /// Notifies all proxies of the new address of discovery.
     fn discovery_relocated(&self, address: SocketAddr) -> Result<(), EventError>;
-    /// Ends all proxies and starts them again at once, without a list.
+    /// Restarts all proxies at once, without a cached endpoint list.
     fn restart_all(&self) -> Result<(), EventError>;
 }
 
-/// What events act on.
+/// Components that events act on.
 pub struct EventTargets {
     /// The discovery service.
     pub discovery: Rc<Discovery>,
@@ -56,7 +56,7 @@
     pub proxies: Box<dyn ProxyControl>,
 }
 
-/// Runs the events of a point, counted from now, to their end.
+/// Runs the events of a point, with times relative to this call, and returns when all have ended.
 pub async fn run(point: &Point, targets: Rc<EventTargets>) -> Result<(), EventError> {
     let start = Instant::now();
     let mut running = JoinSet::new();
@@ -77,7 +77,7 @@
 async fn run_event(event: &PlannedEvent, targets: &EventTargets, backends: usize) -> Result<(), EventError> {
     let duration = Duration::from_secs_f64(event.for_s);
     let released_backends = if event.lines == 0 { backends } else { event.lines as usize };
-    tracing::info!("{:?} for {} s", event.what, event.for_s);
+    tracing::info!("event {:?} started, duration {} s", event.what, event.for_s);
     match event.what {
         EventKind::Release => release(targets, released_backends, duration).await,
         EventKind::Refuse => disrupt_discovery(targets, DiscoveryBehavior::Reject, duration).await,
@@ -95,7 +95,7 @@
     targets.discovery.set_behavior(DiscoveryBehavior::Serve).await;
 }
 
-/// How many backends of a release have come to each step, in the order of their numbers.
+/// Number of backends that have completed each step of a release; backends take each step in index order.
 #[derive(Clone, Copy, Default)]
 struct ReleaseProgress {
     drained: usize,
@@ -104,7 +104,8 @@
 }
 
 impl ReleaseProgress {
-    /// The progress this long after the release began; the drains are spread evenly over `spread`.
+    /// Returns the progress at `elapsed` after the start of the release, with the drains spread evenly over
+    /// `spread`.
     fn at(elapsed: Duration, backends: usize, spread: Duration) -> ReleaseProgress {
         let due_after = |delay: Duration| {
             let Some(elapsed) = elapsed.checked_sub(delay) else { return 0 };
@@ -119,7 +120,7 @@
     }
 }
 
-/// Each backend drains, leaves and starts again, to warm up; all are done at the end of the time.
+/// Drains, removes and restarts each of the first `backends` backends. All have restarted after `duration`.
 async fn release(targets: &EventTargets, backends: usize, duration: Duration) {
     let start = Instant::now();
     let spread = duration.saturating_sub(RESTART_DELAY);
@@ -156,12 +157,13 @@
     });
 }
 
-/// The system's clock, in Unix milliseconds.
+/// Returns the system time in Unix milliseconds.
 fn unix_ms() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
 }
 
-/// Changes entries of the list at an even pace for the point's time; returns how many.
+/// Changes endpoint list entries at a constant rate for the point's change phase. Returns the number of
+/// changes.
 pub async fn change_entries(discovery: &Discovery, point: &Point) -> u64 {
     let start = Instant::now();
     let duration = Duration::from_secs_f64(point.change_s);
--- a/scale/src/lib.rs
+++ b/scale/src/lib.rs
@@ -1,19 +1,19 @@
-//! Runs proxies at sizes that a test cannot, and reports what each size cost. A plan's points are run with
-//! processes of the real proxy, with many simulated proxies around the same decisions, or with the bare
-//! decisions.
+//! Scale test of the load balancer: runs fleets of proxies at sizes that are too large for the test suite,
+//! and reports the cost of each size. A plan runs each of its points with processes of the real proxy, with
+//! many simulated proxies in one process around the same balancer, or with one balancer without I/O.
 //!
-//! The modules form layers; each uses only its own layer and those above it:
+//! The modules form layers. Each module uses only modules of its own layer and of the layers above it:
 //!
 //! | layer | modules |
 //! | --- | --- |
-//! | tools | `random`, `latency`, `local_runtime`, `locking`, `counted_stream` |
+//! | utilities | `random`, `latency`, `local_runtime`, `locking`, `counted_stream` |
 //! | | `process_stats`, `timer_queue`, `naming` |
 //! | plans | `plan`, `plan_validation`, `plan_file`, `machine_limits` |
 //! | results | `point_result`, `linear_fit`, `report` |
-//! | the platform | `platform`, `site_settings`, `endpoint_list` |
-//! | parts of a fleet | `backends`, `discovery`, `clients`, `proxy_process`, `simulated_proxy` |
-//! | what happens to it | `events`, `phase` |
-//! | points, and plans of them | `real_point`, `simulated_point`, `balancer_point`, `runner` |
+//! | platform interface | `platform`, `site_settings`, `endpoint_list` |
+//! | components of a fleet | `backends`, `discovery`, `clients`, `proxy_process`, `simulated_proxy` |
+//! | events and phases | `events`, `phase` |
+//! | points and plans | `real_point`, `simulated_point`, `balancer_point`, `runner` |
 
 pub mod backends;
 pub mod balancer_point;
--- a/scale/src/linear_fit.rs
+++ b/scale/src/linear_fit.rs
@@ -1,36 +1,38 @@
-//! A line through all points but the largest, and how far the largest is from it: a figure that grows faster
-//! than the fleet shows there.
+//! Linear fit through all points but the largest, and the deviation of the largest from it. A figure that
+//! grows faster than linearly with the size has a large deviation.
 
 use crate::point_result::PointResult;
 
-/// What the line predicts for the largest point.
+/// Prediction for the largest point, and its deviation from the measurement.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Prediction {
-    /// The value on the line.
+    /// Value of the fitted line at the largest size.
     pub predicted: f64,
-    /// How far the measured value is above it, as a fraction of it; none where the prediction is 0.
+    /// Measured value minus predicted value, as a fraction of the absolute predicted value; `None` if the
+    /// prediction is 0.
     pub relative_error: Option<f64>,
 }
 
-/// A measured value at a size.
+/// A value measured at one size.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Sample {
-    /// The size.
+    /// Size of the point.
     pub size: f64,
-    /// The value.
+    /// Measured value.
     pub value: f64,
 }
 
 /// A straight line.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Line {
-    /// Its value at 0.
+    /// Value at size 0.
     pub intercept: f64,
-    /// Its slope.
+    /// Increase per unit of size.
     pub slope: f64,
 }
 
-/// Fits a figure of all results but the one of the largest size; none with fewer than three results or a gap.
+/// Fits a line to a figure over all results but the one of the largest size, and predicts that one. Returns
+/// `None` if there are fewer than three results or one of them lacks the figure.
 pub fn predict(results: &[PointResult], figure: &str) -> Option<Prediction> {
     let sample = |result: &PointResult| Some(Sample { size: result.size, value: result.figure(figure)? });
     let mut samples = results.iter().map(sample).collect::<Option<Vec<Sample>>>()?;
@@ -42,7 +44,7 @@
     Some(Prediction { predicted, relative_error })
 }
 
-/// The line of the least squares; none for samples of fewer than two sizes.
+/// Returns the least-squares line; `None` for samples of fewer than two sizes.
 pub fn fit(samples: &[Sample]) -> Option<Line> {
     if samples.len() < 2 {
         return None;
--- a/scale/src/local_runtime.rs
+++ b/scale/src/local_runtime.rs
@@ -1,31 +1,32 @@
-//! Threads with a single-threaded runtime of their own.
+//! Threads that run a single-threaded tokio runtime.
 
 use std::future::Future;
 use std::io;
 use std::thread::JoinHandle;
 
-/// Why a thread could not be started.
+/// Error while starting a thread.
 #[derive(Debug, thiserror::Error)]
 pub enum ThreadError {
-    /// Its runtime could not be made.
-    #[error("{thread}: runtime: {source}")]
+    /// The runtime could not be created.
+    #[error("thread {thread}: cannot create the runtime: {source}")]
     Runtime {
         /// Name of the thread.
         thread: String,
-        /// What the system said.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The system gave no thread.
-    #[error("{thread}: thread: {source}")]
+    /// The operating system did not create the thread.
+    #[error("cannot start thread {thread}: {source}")]
     Spawn {
         /// Name of the thread.
         thread: String,
-        /// What the system said.
+        /// Error of the operating system.
         source: io::Error,
     },
 }
 
-/// Runs the future that `work` makes on a thread of its own; it may spawn local tasks there.
+/// Runs the future that `work` returns on a new thread, inside a `LocalSet`, so that it may spawn local
+/// tasks.
 pub fn spawn_local_runtime<F, W>(name: &str, work: F) -> Result<JoinHandle<W::Output>, ThreadError>
 where
     F: FnOnce() -> W + Send + 'static,
@@ -39,7 +40,7 @@
     spawn_thread(name, move || tokio::task::LocalSet::new().block_on(&runtime, async { work().await }))
 }
 
-/// Runs `work` on a thread of its own.
+/// Runs `work` on a new thread of this name.
 pub fn spawn_thread<T: Send + 'static>(
     name: &str, work: impl FnOnce() -> T + Send + 'static,
 ) -> Result<JoinHandle<T>, ThreadError> {
