--- a/scale/src/backends/fleet.rs
+++ b/scale/src/backends/fleet.rs
@@ -62,7 +62,7 @@
     pub slow_start_peak_ratio: f64,
 }
 
-/// The backends of a point; the proxies or the HTTP servers share it between threads.
+/// The backends of a point, shared between the threads of the HTTP servers or of the simulated proxies.
 pub struct BackendFleet {
     behavior: BackendBehavior,
     state: Mutex<State>,
--- a/scale/src/machine_limits.rs
+++ b/scale/src/machine_limits.rs
@@ -1,74 +1,74 @@
-//! Whether this machine can bear a plan: checked before anything starts.
+//! Checks before a run that the machine has enough resources for a plan.
 
 use crate::plan::{Plan, PlanError, PlanKind, Point};
 use std::io;
 
-/// Processes that a plan may start at once, this one counted.
+/// Maximum number of processes at the same time, including this one.
 const MAX_PROCESSES: u32 = 200;
-/// Fraction of the machine's memory that a plan may take.
+/// Fraction of the machine's memory that a plan may use.
 const MEMORY_FRACTION: f64 = 0.5;
-/// Memory counted for any proxy, real or simulated, in bytes.
+/// Estimated base memory of a proxy, real or simulated, in bytes.
 const BYTES_PER_PROXY: f64 = 8e6;
-/// Memory counted for each entry of the list that a proxy holds, in bytes.
+/// Estimated memory per endpoint list entry in each proxy, in bytes.
 const BYTES_PER_ENTRY: f64 = 1_500.0;
-/// Memory counted for each class and tenant that a proxy holds, in bytes.
+/// Estimated memory per class and per tenant in each proxy, in bytes.
 const BYTES_PER_CLASS_OR_TENANT: f64 = 1_200.0;
-/// Memory counted for each listening backend, in bytes.
+/// Estimated memory per listening backend, in bytes.
 const BYTES_PER_BACKEND: f64 = 4_000.0;
-/// Memory counted for each end of a connection, in bytes.
+/// Estimated memory per end of a connection, in bytes.
 const BYTES_PER_CONNECTION_END: f64 = 40_000.0;
-/// Time for the start and the end of a point beside its phases, in seconds.
+/// Estimated time to start and end a point, in addition to its phases, in seconds.
 const POINT_OVERHEAD_S: f64 = 6.0;
-/// Time counted for one seed of the bare decisions, in seconds.
+/// Estimated time of one seed of a point with the balancer alone, in seconds.
 const SECONDS_PER_SEED: f64 = 1.0;
-/// Time counted for each of the seed's backends, classes and tenants, in seconds.
+/// Additional time of one seed per backend, class and tenant, in seconds.
 const SECONDS_PER_SEED_ITEM: f64 = 2e-4;
-/// Descriptors for standard streams, listeners and runtimes.
+/// File descriptors for standard streams, discovery's sockets and the runtimes.
 const RESERVED_DESCRIPTORS: u64 = 128;
-/// Descriptors counted for the discovery calls of each proxy.
+/// File descriptors for the discovery calls of each proxy.
 const DESCRIPTORS_PER_PROXY: u64 = 4;
 
-/// What the machine has.
+/// Resources that are available to a plan.
 #[derive(Clone, Copy, Debug)]
 pub struct MachineResources {
-    /// Memory in bytes.
+    /// Total memory of the machine, in bytes.
     pub memory_bytes: u64,
-    /// Descriptors that this process may hold.
+    /// Maximum number of open file descriptors of this process; `u64::MAX` if unlimited.
     pub file_descriptors: u64,
 }
 
-/// Why the machine's resources could not be read.
+/// Error while reading the machine's resources.
 #[derive(Debug, thiserror::Error)]
 pub enum MachineError {
-    /// A file of the system could not be read.
-    #[error("{file}: {source}")]
+    /// A file in /proc could not be read.
+    #[error("cannot read {file}: {source}")]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         file: &'static str,
-        /// What the system said.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// A file of the system does not hold the number.
+    /// A file in /proc does not contain the expected number.
     #[error("{file}: expected a number after {label:?}")]
     NoNumber {
-        /// The file.
+        /// Path of the file.
         file: &'static str,
-        /// What stands before the number.
+        /// Label at the start of the line that contains the number.
         label: &'static str,
     },
 }
 
 impl MachineResources {
-    /// Reads what the system says.
+    /// Reads the memory size and the limit of file descriptors from /proc.
     pub fn read() -> Result<MachineResources, MachineError> {
         let memory_kib = number_after("/proc/meminfo", "MemTotal:")?;
-        // An unlimited number is written as a word.
+        // An unlimited value is the word "unlimited", not a number.
         let file_descriptors = number_after("/proc/self/limits", "Max open files").unwrap_or(u64::MAX);
         Ok(MachineResources { memory_bytes: memory_kib * 1024, file_descriptors })
     }
 }
 
-/// The number that follows a label at the start of a line.
+/// Returns the number after a label at the start of a line.
 fn number_after(file: &'static str, label: &'static str) -> Result<u64, MachineError> {
     let text = std::fs::read_to_string(file).map_err(|source| MachineError::Unreadable { file, source })?;
     let rest = text.lines().find_map(|line| line.strip_prefix(label));
@@ -76,11 +76,13 @@
     number.ok_or(MachineError::NoNumber { file, label })
 }
 
-/// Whether the machine can bear the plan, in the plan's own time.
+/// Checks that the points fit into the plan's `longest_s`, and that each point fits into the machine's
+/// memory, file descriptors and process limit.
 pub fn check(plan: &Plan, machine: MachineResources) -> Result<(), PlanError> {
     let seconds: f64 = plan.points.iter().map(|point| max_duration_s(plan.kind, point)).sum();
     if seconds > plan.longest_s {
-        let expected = format!("expected at least {seconds:.0}, which the points may take");
+        let expected =
+            format!("expected at least {seconds:.0}, the total of the longest durations of the points");
         return Err(PlanError::new("longest_s", expected));
     }
     for (number, point) in plan.points.iter().enumerate() {
@@ -89,7 +91,7 @@
     Ok(())
 }
 
-/// The longest time that a point may take, in seconds.
+/// Returns the longest time that a point may take, in seconds.
 pub fn max_duration_s(kind: PlanKind, point: &Point) -> f64 {
     match kind {
         PlanKind::Balancer => {
@@ -115,7 +117,7 @@
     let allowed_memory = machine.memory_bytes as f64 * MEMORY_FRACTION;
     if needed_memory > allowed_memory {
         let expected = format!(
-            "expected a point within {:.0} MB, it counts for {:.0}",
+            "expected at most {:.0} MB of memory, estimated {:.0} MB",
             allowed_memory / 1e6,
             needed_memory / 1e6
         );
@@ -124,7 +126,7 @@
     let needed_descriptors = descriptors_needed(kind, point);
     if needed_descriptors > machine.file_descriptors {
         let expected = format!(
-            "expected at most {} descriptors, they count for {needed_descriptors}",
+            "expected at most {} file descriptors, estimated {needed_descriptors}",
             machine.file_descriptors
         );
         return Err(PlanError::new(path("backends"), expected));
@@ -132,7 +134,7 @@
     Ok(())
 }
 
-/// Memory of all processes, in bytes.
+/// Returns the estimated memory of all processes, in bytes.
 fn memory_needed(kind: PlanKind, point: &Point) -> f64 {
     let classes_and_tenants = f64::from(point.classes) + f64::from(point.tenants);
     let proxy = BYTES_PER_PROXY
@@ -147,16 +149,16 @@
     f64::from(point.proxies) * proxy + f64::from(point.backends) * BYTES_PER_BACKEND + connections
 }
 
-/// Descriptors of this process.
+/// Returns the number of file descriptors that this process needs.
 fn descriptors_needed(kind: PlanKind, point: &Point) -> u64 {
     let proxies = u64::from(point.proxies);
     match kind {
-        // A listener for each backend; clients' connections, and the proxies' connections to backends.
+        // One listener per backend, the clients' connections, and the accepted connections of the proxies.
         PlanKind::Real => {
             let per_proxy = DESCRIPTORS_PER_PROXY + 2 * u64::from(point.connections);
             RESERVED_DESCRIPTORS + u64::from(point.backends) + proxies * per_proxy
         }
-        // Both ends of a call of discovery are here.
+        // Both ends of a discovery call are in this process.
         PlanKind::Simulated => RESERVED_DESCRIPTORS + DESCRIPTORS_PER_PROXY * proxies,
         PlanKind::Balancer => RESERVED_DESCRIPTORS,
     }
--- a/scale/src/main.rs
+++ b/scale/src/main.rs
@@ -1,4 +1,5 @@
-//! The command: reads a plan, checks that the machine bears it, runs it and prints what came of it.
+//! Command-line program: reads a plan, checks it against the machine's limits, runs it and prints the
+//! results.
 
 use clap::Parser;
 use scale_test::machine_limits::{self, MachineError, MachineResources};
@@ -10,26 +11,26 @@
 use std::process::ExitCode;
 use tracing::Level;
 
-/// Exit code for a plan that cannot be run.
+/// Exit code for a plan that is invalid or exceeds the machine's limits.
 const INVALID_PLAN_EXIT_CODE: u8 = 2;
-/// The environment variable that names the least level of log lines.
+/// Environment variable with the minimum level of log lines; the default is `ERROR`.
 const LOG_LEVEL_VARIABLE: &str = "SCALE_LOG";
 
-/// Plays a plan: the real proxy, hollow proxies or the bare decisions at the sizes that it names.
+/// Runs a plan: real proxies, simulated proxies or the balancer alone, at the sizes that the plan lists.
 #[derive(Parser)]
 #[command(version)]
 struct Arguments {
-    /// The plan, a TOML file.
+    /// Plan file in TOML.
     plan: PathBuf,
-    /// Where the results go as JSON lines; `-` means standard output, in place of the table.
+    /// Write the results as JSON lines to this file; `-` writes them to standard output instead of the table.
     #[arg(long)]
     json: Option<PathBuf>,
-    /// Only checks the plan against its form and this machine.
+    /// Only validate the plan and check it against the limits of this machine.
     #[arg(long)]
     check: bool,
 }
 
-/// Why a plan cannot be run.
+/// Reason why a plan is not run.
 #[derive(Debug, thiserror::Error)]
 enum PlanLoadError {
     #[error(transparent)]
@@ -66,7 +67,7 @@
     code
 }
 
-/// The plan, if its values are sound and the machine bears it.
+/// Reads and validates the plan and checks it against the machine's limits.
 fn load_plan(path: &Path) -> Result<Plan, PlanLoadError> {
     let plan = plan_file::load(path)?;
     machine_limits::check(&plan, MachineResources::read()?)?;
--- a/scale/src/phase.rs
+++ b/scale/src/phase.rs
@@ -1,34 +1,34 @@
-//! What one phase of a point took of the proxies and of discovery.
+//! Measurement of one phase of a point: CPU time of the proxies and the discovery counters.
 
 use crate::discovery::{Discovery, DiscoveryCounters};
 use std::future::Future;
 use std::time::{Duration, Instant};
 
-/// Rates of a phase that is shorter than this, in seconds, would be mostly noise.
+/// Minimum duration of a phase for which rates are reported, in seconds; shorter ones are too noisy.
 const MIN_RATE_DURATION_S: f64 = 0.1;
-/// From the moment in which the last proxy is ready, or its time is over, to the phase at rest.
+/// Delay between the end of the start phase and the phase at rest.
 pub const SETTLE_TIME: Duration = Duration::from_secs(1);
 
-/// What a phase took.
+/// Measurements of a phase.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct MeasuredPhase {
-    /// How long it lasted, in seconds.
+    /// Duration, in seconds.
     pub seconds: f64,
-    /// Processor time, in seconds.
+    /// CPU time, in seconds; `None` if it could not be read.
     pub cpu_time_s: Option<f64>,
-    /// What discovery counted in it.
+    /// Discovery counters of this phase.
     pub discovery: DiscoveryCounters,
 }
 
-/// A phase, and what its work returned.
+/// Measurements of a phase, and the output of its work.
 pub struct Measured<T> {
-    /// What the phase took.
+    /// Measurements of the phase.
     pub phase: MeasuredPhase,
-    /// What its work returned.
+    /// Output of the work.
     pub output: T,
 }
 
-/// Runs the work of a phase; `processor_s` reads the processor time taken so far.
+/// Runs and measures the work of a phase; `cpu_time_s` reads the CPU time used so far.
 pub async fn measure<T>(
     discovery: &Discovery, cpu_time_s: impl Fn() -> Option<f64>, work: impl Future<Output = T>,
 ) -> Measured<T> {
@@ -43,19 +43,21 @@
 }
 
 impl MeasuredPhase {
-    /// Bytes between proxies and discovery, both ways, a second.
+    /// Returns the bytes per second between proxies and discovery, in both directions; `None` for a phase
+    /// that is too short.
     pub fn discovery_bytes_per_s(&self) -> Option<f64> {
         let bytes = self.discovery.bytes() as f64;
         (self.seconds > MIN_RATE_DURATION_S).then_some(bytes / self.seconds)
     }
 
-    /// Processor time as a fraction of one core.
+    /// Returns the CPU time as a fraction of one core; `None` for a phase that is too short.
     pub fn cpu_utilization(&self) -> Option<f64> {
         let cpu_time_s = self.cpu_time_s.filter(|_| self.seconds > MIN_RATE_DURATION_S)?;
         Some(cpu_time_s / self.seconds)
     }
 
-    /// Processor time beyond that at rest for each of so many units, in microseconds.
+    /// Returns the CPU time per unit, in microseconds, without the CPU time that `rest` would take in the
+    /// same duration. Returns `None` for 0 units.
     pub fn cpu_us_per_unit(&self, rest: &MeasuredPhase, units: f64) -> Option<f64> {
         let above_rest = self.cpu_time_s? - rest.cpu_utilization().unwrap_or(0.0) * self.seconds;
         (units > 0.0).then_some(above_rest / units * 1e6)
--- a/scale/src/plan.rs
+++ b/scale/src/plan.rs
@@ -1,118 +1,120 @@
-//! Plans: which fleets are run, at which sizes, and what happens to them. The fields of [`Point`],
-//! [`DiscoveryPlan`] and [`PlannedEvent`] are the keys of a plan's file.
+//! Plans: which fleets are run, at which sizes and with which events. The fields of [`Point`],
+//! [`DiscoveryPlan`] and [`PlannedEvent`] are the keys of a plan file.
 
 use serde::Deserialize;
 use std::path::PathBuf;
 
-/// Why a plan was not accepted, in one line.
+/// Error in a plan; its message is one line.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{path}: {expected}")]
 pub struct PlanError {
-    /// The key at fault, from the top of the file.
+    /// Path of the invalid key from the top level of the file, or the location of a syntax error.
     pub path: String,
-    /// What was expected of it.
+    /// The expected value.
     pub expected: String,
 }
 
 impl PlanError {
-    /// The value of the key at `path` is not what was expected.
+    /// Creates an error for the key at `path`.
     pub fn new(path: impl Into<String>, expected: impl Into<String>) -> PlanError {
         PlanError { path: path.into(), expected: expected.into() }
     }
 }
 
-/// What the proxies of a plan are.
+/// How the proxies of a plan are run.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
-#[serde(rename_all = "lowercase", expecting = "enum Kind")]
+#[serde(rename_all = "lowercase", expecting = "a plan kind")]
 pub enum PlanKind {
-    /// Processes of the real program on loopback.
+    /// Processes of the real proxy, on loopback addresses.
     Real,
-    /// Simulated proxies, many in one process: the real decisions and the real watch, no client sockets.
+    /// Many simulated proxies in one process, with the real balancer and the real discovery client, but
+    /// without client and backend sockets.
     #[serde(rename = "hollow")]
     Simulated,
-    /// The bare decisions, no sockets at all.
+    /// One balancer without any sockets.
     #[serde(rename = "module")]
     Balancer,
 }
 
-// The texts of `expecting` are part of the messages about bad plans and stay as people know them.
-
-/// A whole plan: the same fleet at several sizes.
+/// A plan: the same fleet at several sizes.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Names the plan in the results.
+    /// Name of the plan in the results.
     pub name: String,
-    /// What the proxies are.
+    /// How the proxies are run.
     pub kind: PlanKind,
-    /// The field of a point that is its size: see [`Point::size`].
+    /// Field of the points that is their size. See [`Point::size`].
     pub over: String,
-    /// The longest time that the whole of it may take, in seconds.
+    /// Maximum duration of the whole plan, in seconds.
     pub longest_s: f64,
-    /// The built proxy; `None` means the one beside this program.
+    /// Path of the real proxy; `None` means the one in the directory of this program.
     pub program: Option<PathBuf>,
-    /// What is run, one after the other; never empty.
+    /// Points to run, in order; never empty.
     pub points: Vec<Point>,
 }
 
-/// One size of the fleet, and what happens to it.
+/// One size of the fleet, with its phases and events.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Point {
-    /// Names the point in the results.
+    /// Name of the point in the results; may be empty.
     pub label: String,
-    /// Start of all random draws.
+    /// Seed of all random numbers.
     pub seed: u64,
-    /// How often a plan of [`PlanKind::Balancer`] is run, each time with the next seed.
+    /// Number of runs in a plan of [`PlanKind::Balancer`], with consecutive seeds.
     pub seeds: u32,
-    /// Entries of the endpoint list.
+    /// Number of backends in the endpoint list.
     pub backends: u32,
-    /// Kinds of machine.
+    /// Number of machine kinds, to which the backends are assigned in rotation.
     pub kinds: u32,
-    /// Zones; the proxies are spread over them.
+    /// Number of zones, to which proxies and backends are assigned in rotation.
     pub zones: u32,
-    /// Classes of requests.
+    /// Number of request classes.
     pub classes: u32,
-    /// Tenants.
+    /// Number of tenants; 0 for requests without a tenant.
     pub tenants: u32,
-    /// Proxies that are run.
+    /// Number of proxies that are run.
     pub proxies: u32,
-    /// Proxies of the fleet by the settings; 0 means those that are run.
+    /// Number of proxies in the fleet according to the proxies' settings; 0 means `proxies`.
     pub fleet: u32,
-    /// Requests a second over all proxies.
+    /// Requests per second, summed over all proxies that are run.
     pub rate_per_s: f64,
-    /// Connections that the clients of one real proxy may hold.
+    /// Maximum number of client connections to each real proxy.
     pub connections: u32,
-    /// Time in which a client expects its answer, in milliseconds.
+    /// Deadline of each request, in milliseconds from its planned send.
     pub deadline_ms: u64,
-    /// Mean time that a backend takes for a request, in milliseconds.
+    /// Mean service time of a request at a backend, in milliseconds.
     pub service_ms: f64,
-    /// Requests a second that a warm backend can serve; the limit of a warming one is a part of it.
+    /// Requests per second that a backend can serve after slow start; its limit during slow start derives
+    /// from it.
     pub capacity_per_s: f64,
-    /// File descriptors of a real proxy.
+    /// Maximum number of sockets of a real proxy.
     pub sockets: u32,
-    /// Proxies start with the endpoint list as their cached list.
+    /// Whether real proxies start with the endpoint list as their cached list.
     pub known: bool,
-    /// The longest wait until all proxies are ready, in seconds.
+    /// Maximum wait until all proxies are ready, in seconds.
     pub ready_s: f64,
-    /// Length of the phase without load or changes, in seconds: processor time at rest.
+    /// Duration of the phase without load and changes, in seconds. It measures the CPU time at rest.
     pub rest_s: f64,
-    /// Length of the phase in which only the list changes, in seconds: processor time for each changed entry.
+    /// Duration of the phase in which only the endpoint list changes, in seconds. It measures the CPU time
+    /// per changed entry.
     pub change_s: f64,
-    /// Entries that change a second in that phase.
+    /// Changed entries per second in that phase.
     pub changes_per_s: f64,
-    /// Length of the phase with requests, in seconds.
+    /// Duration of the phase with requests and events, in seconds.
     pub load_s: f64,
-    /// A request that reaches a backend later than the time to stop sending plus this, in seconds, after it
-    /// began to drain is an error.
+    /// Allowance on top of the time within which proxies must stop sending to a draining backend, in seconds.
+    /// A request that reaches the backend still later fails a check.
     pub drain_slack_s: f64,
-    /// The discovery service.
+    /// Properties of the discovery service.
     pub discovery: DiscoveryPlan,
-    /// What happens during the load.
+    /// Events during the load phase.
     pub events: Vec<PlannedEvent>,
 }
 
 impl Point {
-    /// Its size along the field of this name; `None` where a plan cannot run over that.
+    /// Returns the value of the field by which a plan varies its size; `None` if plans cannot vary this
+    /// field.
     pub fn size(&self, field: &str) -> Option<f64> {
         let size = match field {
             "backends" => self.backends,
@@ -157,17 +159,17 @@
     }
 }
 
-/// The discovery service: it handles calls one after another.
+/// Properties of the discovery service, which processes one call at a time.
 #[derive(Clone, Debug, Deserialize)]
-#[serde(deny_unknown_fields, default, expecting = "struct Service")]
+#[serde(deny_unknown_fields, default, expecting = "a discovery table")]
 pub struct DiscoveryPlan {
-    /// How the list reaches the proxies.
+    /// How proxies receive the endpoint list.
     pub mode: DiscoveryMode,
-    /// Work for a call, in microseconds.
+    /// Processing time per call, in microseconds.
     pub call_us: u64,
-    /// Work for each entry of a response, in microseconds.
+    /// Additional processing time per entry of a response, in microseconds.
     pub line_us: f64,
-    /// Calls that may wait in its queue; more are rejected.
+    /// Maximum number of calls in the queue; further ones are rejected.
     pub queue: usize,
 }
 
@@ -177,47 +179,47 @@
     }
 }
 
-/// How the list reaches the proxies.
+/// How proxies receive the endpoint list.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
-#[serde(rename_all = "lowercase", expecting = "enum Mode")]
+#[serde(rename_all = "lowercase", expecting = "a discovery mode")]
 pub enum DiscoveryMode {
-    /// Pushed by an agent beside each proxy, whose calls cost nothing to anybody else.
+    /// Pushed by a local agent per proxy, whose calls put no load on a shared service.
     #[serde(rename = "automatic")]
     Push,
-    /// Subscribed to at one service that all proxies call.
+    /// Subscribed to at one service that all proxies share.
     Subscribe,
 }
 
-/// Something that happens during the load.
+/// An event during the load phase.
 #[derive(Clone, Debug, Deserialize)]
-#[serde(deny_unknown_fields, expecting = "struct Happening")]
+#[serde(deny_unknown_fields, expecting = "an event table")]
 pub struct PlannedEvent {
-    /// When, in seconds from the first request.
+    /// Start, in seconds from the start of the load phase.
     pub at_s: f64,
-    /// What.
+    /// Kind of the event.
     pub what: EventKind,
-    /// How long it lasts, in seconds.
+    /// Duration, in seconds.
     #[serde(default)]
     pub for_s: f64,
-    /// How many entries of the list it changes over its time; 0 means all.
+    /// Number of backends that a release restarts; 0 means all.
     #[serde(default)]
     pub lines: u32,
 }
 
-/// What may happen.
+/// Kind of an event.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
-#[serde(rename_all = "lowercase", expecting = "enum What")]
+#[serde(rename_all = "lowercase", expecting = "an event kind")]
 pub enum EventKind {
-    /// Backends drain, leave and start again, to warm up, spread evenly over the time.
+    /// Backends are drained, removed and restarted, spread evenly over the duration.
     Release,
     /// Discovery rejects calls.
     Refuse,
-    /// Discovery takes calls and does not respond.
+    /// Discovery accepts calls and never responds.
     Silence,
-    /// Discovery is down.
+    /// Discovery refuses connections and closes the open ones.
     Down,
-    /// Discovery moves to another port; the settings' files are replaced and SIGHUP is sent.
+    /// Discovery moves to another port. Real proxies get a new configuration file and SIGHUP.
     Reload,
-    /// All proxies end and start again at once, without a list.
+    /// All proxies restart at once, without a cached endpoint list. Simulated proxies only.
     Return,
 }
--- a/scale/src/plan_file.rs
+++ b/scale/src/plan_file.rs
@@ -1,4 +1,5 @@
-//! Reads a plan's file strictly: an error is one line that begins with the path of its key.
+//! Reads plan files. Unknown keys are errors, and every error is one line that begins with the path of the
+//! key.
 
 use crate::plan::{Plan, PlanError, PlanKind, Point};
 use crate::plan_validation;
@@ -7,7 +8,7 @@
 use std::path::{Path, PathBuf};
 use toml::{Table, Value};
 
-/// The keys beside the points.
+/// Top-level keys other than `base` and `points`.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Head {
@@ -19,15 +20,16 @@
     program: Option<PathBuf>,
 }
 
-/// Reads a plan's file and checks every value in it.
+/// Reads and validates a plan file.
 pub fn load(path: &Path) -> Result<Plan, PlanError> {
     let text = std::fs::read_to_string(path).map_err(|error| {
-        PlanError::new(path.display().to_string(), format!("expected a readable plan: {error}"))
+        PlanError::new(path.display().to_string(), format!("expected a readable plan file: {error}"))
     })?;
     parse(&text)
 }
 
-/// Reads a plan: `[base]` holds for each of `[[points]]` unless that has the key itself.
+/// Parses and validates a plan. The values in `[base]` apply to each of `[[points]]` that does not set the
+/// key.
 pub fn parse(text: &str) -> Result<Plan, PlanError> {
     let mut table: Table = text.parse().map_err(|error| syntax_error(&error, text))?;
     let base = take_base(&mut table)?;
@@ -43,7 +45,7 @@
     Ok(plan)
 }
 
-/// Text that is no TOML, by its line.
+/// Returns the error for invalid TOML, with its line number.
 fn syntax_error(error: &toml::de::Error, text: &str) -> PlanError {
     let start = error.span().map_or(0, |span| span.start).min(text.len());
     let newlines_before = text.as_bytes()[..start].iter().filter(|byte| **byte == b'\n').count();
@@ -65,7 +67,7 @@
 }
 
 fn take_points(table: &mut Table) -> Result<Vec<Table>, PlanError> {
-    let missing = || PlanError::new("points", "missing, expected one [[points]] at least");
+    let missing = || PlanError::new("points", "missing, expected at least one [[points]]");
     let Some(Value::Array(values)) = table.remove("points") else { return Err(missing()) };
     let mut tables = Vec::new();
     for (number, value) in values.into_iter().enumerate() {
@@ -97,7 +99,7 @@
     })
 }
 
-/// Reads a value; `full_path` makes the path from the top of the file out of one inside the value.
+/// Deserializes a value. `full_path` converts a path inside the value to one from the top level of the file.
 fn read<T: DeserializeOwned>(value: Value, full_path: impl Fn(&str) -> String) -> Result<T, PlanError> {
     serde_path_to_error::deserialize(value).map_err(|error| {
         let path = error.path().to_string();
@@ -107,13 +109,13 @@
             return PlanError::new(full_path(&inner_path), "missing, expected a value");
         }
         if text.starts_with("unknown field") {
-            return PlanError::new(full_path(&path), format!("expected no such key: {text}"));
+            return PlanError::new(full_path(&path), format!("expected a known key: {text}"));
         }
-        PlanError::new(full_path(&path), format!("expected another value: {text}"))
+        PlanError::new(full_path(&path), format!("expected a valid value: {text}"))
     })
 }
 
-/// The name of the field that a message of the deserializer calls missing.
+/// Returns the field name from the deserializer's message about a missing field.
 fn missing_field(text: &str) -> Option<&str> {
     let (_, rest) = text.split_once("missing field `")?;
     rest.split('`').next()
--- a/scale/src/plan_validation.rs
+++ b/scale/src/plan_validation.rs
@@ -1,19 +1,19 @@
-//! The range of each value of a plan.
+//! Validates the values of a plan against their ranges.
 
 use crate::plan::{EventKind, Plan, PlanError, PlanKind, PlannedEvent, Point};
 use std::ops::RangeInclusive;
 
-/// The longest time that any plan, or any phase of one, may take, in seconds.
+/// Maximum duration of a plan and of each phase, in seconds.
 const MAX_DURATION_S: f64 = 1_800.0;
-/// A release takes this long at least, in seconds: each backend drains and is away for some of it.
+/// Minimum duration of a release, in seconds, which leaves time for each backend to drain and restart.
 const MIN_RELEASE_S: f64 = 4.0;
 
-/// Fails with the first value that is out of its range.
+/// Returns an error for the first value that is out of range.
 pub fn validate(plan: &Plan) -> Result<(), PlanError> {
     if !(plan.longest_s > 0.0 && plan.longest_s <= MAX_DURATION_S) {
         return Err(PlanError::new(
             "longest_s",
-            format!("expected seconds above 0, at most {MAX_DURATION_S}"),
+            format!("expected seconds above 0 and at most {MAX_DURATION_S}"),
         ));
     }
     if plan.points[0].size(&plan.over).is_none() {
@@ -64,22 +64,22 @@
         self.require((1..=20_000).contains(&point.classes), "classes", "a whole number from 1 to 20000")?;
         self.require(point.tenants <= 100_000, "tenants", "a whole number up to 100000")?;
         self.require((1..=2_000).contains(&point.proxies), "proxies", "a whole number from 1 to 2000")?;
-        self.require(is_valid_fleet, "fleet", "0, or no fewer than proxies")
+        self.require(is_valid_fleet, "fleet", "0 or at least proxies")
     }
 
     fn validate_traffic(&self) -> Result<(), PlanError> {
         let point = self.point;
         let is_positive = |value: f64, limit: f64| value > 0.0 && value <= limit;
         let capacity = point.capacity_per_s;
-        self.require(is_positive(point.rate_per_s, 1e5), "rate_per_s", "above 0, at most 100000")?;
+        self.require(is_positive(point.rate_per_s, 1e5), "rate_per_s", "above 0 and at most 100000")?;
         self.require(
             (1..=4_096).contains(&point.connections),
             "connections",
             "a whole number from 1 to 4096",
         )?;
         self.require((1..=60_000).contains(&point.deadline_ms), "deadline_ms", "from 1 to 60000")?;
-        self.require(is_positive(point.service_ms, 6e4), "service_ms", "above 0, at most 60000")?;
-        self.require(is_positive(capacity, 1e6), "capacity_per_s", "above 0, at most 1000000")?;
+        self.require(is_positive(point.service_ms, 6e4), "service_ms", "above 0 and at most 60000")?;
+        self.require(is_positive(capacity, 1e6), "capacity_per_s", "above 0 and at most 1000000")?;
         self.require((64..=20_000).contains(&point.sockets), "sockets", "from 64 to 20000")?;
         self.require((1..=100).contains(&point.seeds), "seeds", "a whole number from 1 to 100")
     }
@@ -90,7 +90,7 @@
         self.require(
             point.ready_s > 0.0 && is_valid_duration(point.ready_s),
             "ready_s",
-            "seconds above 0, at most 1800",
+            "seconds above 0 and at most 1800",
         )?;
         self.require(is_valid_duration(point.rest_s), "rest_s", "seconds from 0 to 1800")?;
         self.require(is_valid_duration(point.change_s), "change_s", "seconds from 0 to 1800")?;
@@ -114,18 +114,21 @@
         let ends_at_s = event.at_s + event.for_s;
         let ends_within_load = ends_at_s <= self.point.load_s;
         if !(is_valid_duration(event.at_s) && is_valid_duration(event.for_s) && ends_within_load) {
-            return Err(PlanError::new(path, "expected at_s and for_s of 0 or more that end within load_s"));
+            return Err(PlanError::new(
+                path,
+                "expected at_s and for_s of at least 0, with a sum of at most load_s",
+            ));
         }
         if event.what == EventKind::Return && self.kind != PlanKind::Simulated {
-            let expected = "expected return only in a plan of kind hollow";
+            let expected = "expected return only in plans of kind hollow";
             return Err(PlanError::new(format!("{path}.what"), expected));
         }
         if event.what == EventKind::Release && event.for_s < MIN_RELEASE_S {
-            let expected = format!("expected at least {MIN_RELEASE_S} for a release");
+            let expected = format!("expected at least {MIN_RELEASE_S} seconds for a release");
             return Err(PlanError::new(format!("{path}.for_s"), expected));
         }
         if event.lines > self.point.backends {
-            return Err(PlanError::new(format!("{path}.lines"), "expected at most backends"));
+            return Err(PlanError::new(format!("{path}.lines"), "expected at most the value of backends"));
         }
         Ok(())
     }
--- a/scale/src/platform.rs
+++ b/scale/src/platform.rs
@@ -1,5 +1,5 @@
-//! The parts of the library's interface to the platform that this program uses, in one place: settings,
-//! endpoint lists and the watch on them.
+//! Wrappers of the parts of the `load_balancer` library that read settings and endpoint lists and watch the
+//! endpoint list. Only this module depends on their types.
 
 use load_balancer::discovery::start_times::StartTimes;
 use load_balancer::discovery::{Watch, WatchSettings};
@@ -16,36 +16,36 @@
 use tokio::sync::{watch, Notify};
 use tokio::task::JoinHandle;
 
-/// The configuration that the library makes of a proxy's settings.
+/// Decodes a proxy's settings into the balancer's configuration.
 pub fn read_config(settings: &Value) -> Result<Config, WireError> {
     Ok(SettingsMessage::from_value(settings)?.config)
 }
 
-/// The backends of an endpoint list, as the library reads it.
+/// Decodes an endpoint list into its backends.
 pub fn read_endpoint_list(document: &Value) -> Result<Vec<Backend>, WireError> {
     Ok(backends(EndpointList::from_value(document)?.endpoints))
 }
 
-/// The library's id for the backend of this name.
+/// Returns the library's id of the backend with this name.
 pub fn backend_id(name: &str) -> BackendId {
     BackendId(identifier(name))
 }
 
-/// How a proxy watches the endpoint list.
+/// Options of a proxy's watch on the endpoint list.
 pub struct WatchOptions {
-    /// Where discovery listens; it may move.
+    /// Current address of discovery.
     pub address: watch::Receiver<SocketAddr>,
-    /// Whether the list is pushed or subscribed to.
+    /// How the proxy receives the endpoint list: pushed or subscribed to.
     pub mode: DiscoveryMode,
-    /// A connection that is not up after this time counts as failed.
+    /// Timeout of a connection attempt to discovery.
     pub connect_timeout: Duration,
-    /// Time within which requests to a draining backend must cease.
+    /// Time within which a proxy must stop sending to a draining backend.
     pub drain_notice_limit: Duration,
-    /// The proxy's place in its fleet, from 0 up to 1.
+    /// Index of the proxy as a fraction of the fleet's size, from 0 (inclusive) to 1 (exclusive).
     pub fleet_position: f64,
-    /// Asks for the next call.
+    /// Requests the next subscription call.
     pub resubscribe: Rc<Notify>,
-    /// The proxy's clock.
+    /// Reads the proxy's clock.
     pub now: Box<dyn Fn() -> Time>,
     /// Receives each update, in order.
     pub deliver: Box<dyn Fn(EndpointListUpdate, Vec<Backend>)>,
--- a/scale/src/point_result.rs
+++ b/scale/src/point_result.rs
@@ -1,57 +1,57 @@
-//! What one point gave: measured figures, and checks of what has to hold.
+//! Result of a point: measured figures and pass/fail checks.
 
-/// Something that has to hold.
+/// A condition that a point must meet.
 #[derive(Clone, Debug)]
 pub struct Check {
-    /// What.
+    /// Description of the condition.
     pub name: &'static str,
-    /// Whether it does.
+    /// Whether the condition is met.
     pub passed: bool,
-    /// What was seen.
+    /// Measured values on which the verdict is based.
     pub observed: String,
 }
 
 /// A measured figure.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Figure {
-    /// Its name, with the unit at the end.
+    /// Name in the report, with the unit as its suffix.
     pub name: &'static str,
-    /// Its value; none where it was not measured.
+    /// Value; `None` if it was not measured.
     pub value: Option<f64>,
 }
 
 impl Figure {
-    /// A figure that may not have been measured.
+    /// Creates a figure that may not have been measured.
     pub fn new(name: &'static str, value: Option<f64>) -> Figure {
         Figure { name, value }
     }
 
-    /// A number of things.
+    /// Creates a figure from a count.
     pub fn count(name: &'static str, count: u64) -> Figure {
         Figure { name, value: Some(count as f64) }
     }
 }
 
-/// What one point gave.
+/// Result of a point.
 #[derive(Clone, Debug)]
 pub struct PointResult {
-    /// Its name, where it has one.
+    /// Label of the point; may be empty.
     pub label: String,
-    /// Its size along the field that the plan runs over.
+    /// Value of the field that the plan varies.
     pub size: f64,
-    /// What was measured.
+    /// Measured figures, in the order of the report.
     pub figures: Vec<Figure>,
-    /// What has to hold.
+    /// Checks, in the order of the report.
     pub checks: Vec<Check>,
 }
 
 impl PointResult {
-    /// The value of a figure by its name.
+    /// Returns the value of a figure; `None` if it is unknown or was not measured.
     pub fn figure(&self, name: &str) -> Option<f64> {
         self.figures.iter().find(|figure| figure.name == name).and_then(|figure| figure.value)
     }
 
-    /// Whether every check holds.
+    /// Returns whether every check passed.
     pub fn passed(&self) -> bool {
         self.checks.iter().all(|check| check.passed)
     }
--- a/scale/src/proxy_process.rs
+++ b/scale/src/proxy_process.rs
@@ -1,4 +1,4 @@
-//! Processes of the real proxy: started, signalled, ended; never any but those that this program started.
+//! Starts, signals and ends processes of the real proxy. Only processes started here are ever signalled.
 
 use crate::process_stats::ProcessStats;
 use nix::errno::Errno;
@@ -12,40 +12,40 @@
 use std::sync::mpsc;
 use std::time::{Duration, Instant};
 
-/// A proxy must say where it listens within this time.
+/// Time within which a proxy must log its listen address.
 const START_TIMEOUT: Duration = Duration::from_secs(10);
-/// What a proxy writes before its address.
+/// Text before the listen address in a proxy's log.
 const LISTEN_LOG_PREFIX: &str = "listening on ";
 
-/// Why a process could not be started or signalled.
+/// Error while starting or signalling a process.
 #[derive(Debug, thiserror::Error)]
 pub enum ProcessError {
-    /// A file could not be written or run.
+    /// A configuration file could not be written, or the program not be run.
     #[error("{}: {source}", path.display())]
     File {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What the system said.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The system gave no pipe from the child.
-    #[error("a child without standard error")]
+    /// There is no pipe to the child's standard error.
+    #[error("no pipe to the standard error of the proxy")]
     NoStandardError,
-    /// It did not say in time where it listens.
-    #[error("proxy {number}: never listened")]
+    /// The proxy did not log its listen address in time.
+    #[error("proxy {number}: did not log its listen address in time")]
     ListenTimeout {
-        /// Its number.
+        /// Index of the proxy.
         number: u32,
     },
-    /// Its id is none that can be signalled.
-    #[error("a process id: {0}")]
+    /// The process id is out of the range of ids that can be signalled.
+    #[error("invalid process id: {0}")]
     ProcessId(std::num::TryFromIntError),
     /// A signal could not be sent.
-    #[error("{signal}: {source}")]
+    #[error("cannot send {signal}: {source}")]
     Signal {
-        /// The signal.
+        /// Signal that was not sent.
         signal: Signal,
-        /// What the system said.
+        /// Error of the operating system.
         source: Errno,
     },
 }
@@ -56,18 +56,18 @@
     }
 }
 
-/// A proxy that is killed when this is dropped.
+/// A running proxy; dropping it kills the process and removes its configuration file.
 pub struct ProxyProcess {
     child: Child,
     config_file: PathBuf,
-    /// Where it listens for clients.
+    /// Address on which the proxy accepts clients.
     pub address: SocketAddr,
-    /// When it was started.
+    /// When the process was started.
     pub started_at: Instant,
 }
 
 impl ProxyProcess {
-    /// Starts the program with this configuration and waits until it says where it listens.
+    /// Starts the program with this configuration and waits until it logs its listen address.
     pub fn start(
         program: &Path, directory: &Path, number: u32, config: &Value,
     ) -> Result<ProxyProcess, ProcessError> {
@@ -95,7 +95,7 @@
         kill(Pid::from_raw(process_id), signal).map_err(|source| ProcessError::Signal { signal, source })
     }
 
-    /// Replaces its configuration, whole at once, and sends SIGHUP.
+    /// Atomically replaces the configuration file and sends SIGHUP.
     pub fn reload(&self, config: &Value) -> Result<(), ProcessError> {
         let next = self.config_file.with_extension("next");
         std::fs::write(&next, config.to_string()).map_err(ProcessError::file(&next))?;
@@ -103,17 +103,17 @@
         self.signal(Signal::SIGHUP)
     }
 
-    /// Sends SIGTERM.
+    /// Requests a graceful shutdown with SIGTERM.
     pub fn terminate(&self) -> Result<(), ProcessError> {
         self.signal(Signal::SIGTERM)
     }
 
-    /// How it ended, if it has.
+    /// Returns the exit status; `None` while the process runs.
     pub fn exit_status(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().ok().flatten()
     }
 
-    /// Reads what it takes of the machine.
+    /// Returns a reader for the CPU time and memory of the process.
     pub fn stats(&self) -> ProcessStats {
         ProcessStats::for_process(self.child.id())
     }
@@ -127,7 +127,8 @@
     }
 }
 
-/// Reads the log of a proxy to its end; yields the addresses on which it says that it listens.
+/// Reads the log of a proxy until it closes, on a background thread. The returned channel receives the listen
+/// addresses found in it.
 fn read_log(number: u32, stderr: ChildStderr) -> mpsc::Receiver<SocketAddr> {
     let (address_sender, addresses) = mpsc::channel();
     std::thread::spawn(move || {
--- a/scale/tests/plans.rs
+++ b/scale/tests/plans.rs
@@ -30,20 +30,20 @@
     let cases = [
         ("name = ".to_string(), "line 1: expected TOML"),
         ("kind = \"real\"\nover = \"backends\"\nlongest_s = 1\n[[points]]\n".into(), "name: missing"),
-        (format!("{HEAD}color = 1\n[[points]]\n"), "color: expected no such key"),
-        (HEAD.replace("real", "wooden") + "[[points]]\n", "kind: expected another value"),
+        (format!("{HEAD}color = 1\n[[points]]\n"), "color: expected a known key"),
+        (HEAD.replace("real", "wooden") + "[[points]]\n", "kind: expected a valid value"),
         (HEAD.replace("backends", "hats") + "[[points]]\nbackends = 2\nkinds = 1\n", "over: expected one of"),
         (HEAD.replace("600", "0") + "[[points]]\nbackends = 8\n", "longest_s: expected seconds above 0"),
-        (HEAD.to_string(), "points: missing, expected one [[points]] at least"),
+        (HEAD.to_string(), "points: missing, expected at least one [[points]]"),
         (format!("{HEAD}points = 3\n"), "points: missing"),
         (format!("base = 1\n{HEAD}[[points]]\n"), "base: expected a table, got integer"),
         (format!("{HEAD}[base]\nclasses = \"many\"\n[[points]]\nbackends = 8\n"), "base.classes: expected"),
         (format!("{HEAD}[[points]]\n"), "points[0].backends: expected a whole number from 1 to 20000"),
         (with_point("proxies = -1"), "points[0].proxies: expected"),
-        (with_point("hats = 1"), "points[0].hats: expected no such key"),
+        (with_point("hats = 1"), "points[0].hats: expected a known key"),
         (with_point("rate_per_s = nan"), "points[0].rate_per_s: expected above 0"),
         (with_point("discovery = { queue = 0 }"), "points[0].discovery.queue: expected a whole number"),
-        (with_point("discovery = { queues = 1 }"), "points[0].discovery.queues: expected no such key"),
+        (with_point("discovery = { queues = 1 }"), "points[0].discovery.queues: expected a known key"),
         (with_point("events = [{ what = \"reload\" }]"), "points[0].events[0].at_s: missing"),
         (with_point("events = [{ at_s = 1, what = \"rain\" }]"), "points[0].events[0].what: expected"),
         (with_point("events = [{ at_s = 99, what = \"reload\" }]"), "points[0].events[0]: expected at_s"),
@@ -77,9 +77,9 @@
     let line = machine_error(&with_point("proxies = 200\nconnections = 1"));
     assert!(line.starts_with("points[0].proxies: expected fewer than 200 processes"), "{line}");
     let line = machine_error(&with_point("proxies = 100"));
-    assert!(line.starts_with("points[0].proxies: expected a point within 1000 MB"), "{line}");
+    assert!(line.starts_with("points[0].proxies: expected at most 1000 MB of memory"), "{line}");
     let line = machine_error(&with_point("").replace("= 20", "= 5000"));
-    assert!(line.starts_with("points[0].backends: expected at most 4096 descriptors"), "{line}");
+    assert!(line.starts_with("points[0].backends: expected at most 4096 file descriptors"), "{line}");
     let line = machine_error(&with_point("load_s = 900"));
     assert!(line.starts_with("longest_s: expected at least 9"), "{line}");
 }
