--- a/scale/src/backends/server.rs
+++ b/scale/src/backends/server.rs
@@ -21,7 +21,7 @@
 
 /// Maximum size of a request body, in bytes.
 const MAX_BODY_BYTES: usize = 64 << 10;
-/// Threads that the backends are distributed over.
+/// Number of threads that the backends are distributed over.
 const THREADS: usize = 2;
 /// Delay after a failed accept, which avoids a busy loop when file descriptors run out.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
--- a/scale/src/balancer_point/mod.rs
+++ b/scale/src/balancer_point/mod.rs
@@ -25,7 +25,7 @@
 /// Port of all backends; nothing listens on it.
 const BACKEND_PORT: u16 = 80;
 
-/// Why a point could not be run.
+/// Error while running a point with the balancer alone.
 #[derive(Debug, thiserror::Error)]
 pub enum BalancerPointError {
     /// The library rejected the settings or the endpoint list.
--- a/scale/src/lib.rs
+++ b/scale/src/lib.rs
@@ -1,6 +1,6 @@
 //! Scale test of the load balancer: runs fleets of proxies at sizes that are too large for the test suite,
 //! and reports the cost of each size. A plan runs each of its points with processes of the real proxy, with
-//! many simulated proxies in one process around the same balancer, or with one balancer without I/O.
+//! many simulated proxies in one process that use the same balancer, or with one balancer without I/O.
 //!
 //! The modules form layers. Each module uses only modules of its own layer and of the layers above it:
 //!
--- a/scale/src/linear_fit.rs
+++ b/scale/src/linear_fit.rs
@@ -3,7 +3,7 @@
 
 use crate::point_result::PointResult;
 
-/// Prediction for the largest point, and its deviation from the measurement.
+/// Prediction for the largest point, and the deviation of the measurement from it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Prediction {
     /// Value of the fitted line at the largest size.
--- a/scale/src/machine_limits.rs
+++ b/scale/src/machine_limits.rs
@@ -23,7 +23,7 @@
 const SECONDS_PER_SEED: f64 = 1.0;
 /// Additional time of one seed per backend, class and tenant, in seconds.
 const SECONDS_PER_SEED_ITEM: f64 = 2e-4;
-/// File descriptors for standard streams, discovery's sockets and the runtimes.
+/// File descriptors for standard streams, the discovery listener and the runtimes.
 const RESERVED_DESCRIPTORS: u64 = 128;
 /// File descriptors for the discovery calls of each proxy.
 const DESCRIPTORS_PER_PROXY: u64 = 4;
@@ -33,7 +33,7 @@
 pub struct MachineResources {
     /// Total memory of the machine, in bytes.
     pub memory_bytes: u64,
-    /// Maximum number of open file descriptors of this process; `u64::MAX` if unlimited.
+    /// Maximum number of open file descriptors of this process; `u64::MAX` if unlimited or unknown.
     pub file_descriptors: u64,
 }
 
--- a/scale/src/phase.rs
+++ b/scale/src/phase.rs
@@ -50,7 +50,8 @@
         (self.seconds > MIN_RATE_DURATION_S).then_some(bytes / self.seconds)
     }
 
-    /// Returns the CPU time as a fraction of one core; `None` for a phase that is too short.
+    /// Returns the CPU time as a fraction of one core; `None` for a phase that is too short or whose CPU
+    /// time could not be read.
     pub fn cpu_utilization(&self) -> Option<f64> {
         let cpu_time_s = self.cpu_time_s.filter(|_| self.seconds > MIN_RATE_DURATION_S)?;
         Some(cpu_time_s / self.seconds)
--- a/scale/src/plan.rs
+++ b/scale/src/plan.rs
@@ -8,7 +8,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{path}: {expected}")]
 pub struct PlanError {
-    /// Path of the invalid key from the top level of the file, or the location of a syntax error.
+    /// Path of the invalid key from the top level of the file; otherwise the line of a syntax error, or the
+    /// name of an unreadable file.
     pub path: String,
     /// The expected value.
     pub expected: String,
--- a/scale/src/platform.rs
+++ b/scale/src/platform.rs
@@ -1,5 +1,5 @@
 //! Wrappers of the parts of the `load_balancer` library that read settings and endpoint lists and watch the
-//! endpoint list. Only this module depends on their types.
+//! endpoint list.
 
 use load_balancer::discovery::start_times::StartTimes;
 use load_balancer::discovery::{Watch, WatchSettings};
--- a/scale/src/real_point/figures.rs
+++ b/scale/src/real_point/figures.rs
@@ -1,11 +1,10 @@
-//! The figures and checks of a point with real proxies.
+//! Figures and checks of a point with real proxies.
 
 use super::measurements::Measurements;
 use crate::plan::Point;
 use crate::point_result::{Check, Figure, PointResult};
 use std::time::Duration;
 
-/// The result of a point.
 pub(super) fn result(point: &Point, measurements: &Measurements) -> PointResult {
     let mut figures = cost_figures(point, measurements);
     figures.extend(discovery_figures(measurements));
@@ -23,7 +22,7 @@
     let proxies = f64::from(point.proxies);
     let megabytes = |bytes: Option<f64>| bytes.map(|bytes| bytes / 1e6);
     let changed_entries = measurements.changed_entries as f64 * proxies;
-    let added_us =
+    let added_latency_us =
         |quantile: f64| (clients.served > 0).then(|| clients.added_latency.quantile_us(quantile) as f64);
     vec![
         Figure::new("memory_mb", megabytes(measurements.memory)),
@@ -32,15 +31,15 @@
         Figure::new("rest_core_share", rest.cpu_utilization().map(|share| share / proxies)),
         Figure::new("changed_line_us", change.cpu_us_per_unit(rest, changed_entries)),
         Figure::new("request_us", load.cpu_us_per_unit(rest, clients.response_count() as f64)),
-        Figure::new("added_p50_us", added_us(0.5)),
-        Figure::new("added_p99_us", added_us(0.99)),
-        Figure::new("added_p999_us", added_us(0.999)),
-        Figure::new("added_worst_us", added_us(1.0)),
+        Figure::new("added_p50_us", added_latency_us(0.5)),
+        Figure::new("added_p99_us", added_latency_us(0.99)),
+        Figure::new("added_p999_us", added_latency_us(0.999)),
+        Figure::new("added_worst_us", added_latency_us(1.0)),
         Figure::new("pause_ms", Some(clients.longest_response_gap.as_secs_f64() * 1e3)),
     ]
 }
 
-/// The longest time; none where one of the proxies did not become ready.
+/// Returns the longest time; `None` if any proxy did not become ready.
 fn slowest(time_to_ready: &[Option<Duration>]) -> Option<Duration> {
     let times = time_to_ready.iter().copied().collect::<Option<Vec<Duration>>>()?;
     times.into_iter().max()
@@ -78,38 +77,38 @@
 
 fn checks(measurements: &Measurements) -> Vec<Check> {
     let Measurements { time_to_ready, clients, backends, exit_codes, .. } = measurements;
-    let ready = time_to_ready.iter().flatten().count();
+    let ready_count = time_to_ready.iter().flatten().count();
     let clean_exits = exit_codes.iter().filter(|code| **code == Some(0)).count();
     vec![
         Check {
             name: "every proxy becomes ready",
-            passed: ready == time_to_ready.len(),
-            observed: format!("{ready} of {}", time_to_ready.len()),
+            passed: ready_count == time_to_ready.len(),
+            observed: format!("{ready_count} of {}", time_to_ready.len()),
         },
-        answers_check(measurements),
+        response_check(measurements),
         Check {
-            name: "something is served",
+            name: "at least one request is served",
             passed: clients.planned == 0 || clients.served > 0,
             observed: format!("{} of {}", clients.served, clients.planned),
         },
         backends.drain_check(),
         Check {
-            name: "SIGTERM ends every proxy with code 0",
+            name: "every proxy exits with code 0 after SIGTERM",
             passed: clean_exits == exit_codes.len(),
             observed: format!("{clean_exits} of {}", exit_codes.len()),
         },
     ]
 }
 
-fn answers_check(measurements: &Measurements) -> Check {
+fn response_check(measurements: &Measurements) -> Check {
     let clients = &measurements.clients;
     let sent = clients.planned - clients.unsent;
     let responses = clients.response_count();
     Check {
-        name: "every request taken has one final answer",
+        name: "every sent request gets exactly one response",
         passed: clients.lost == 0 && clients.unexpected_messages == 0 && responses == sent,
         observed: format!(
-            "{responses} answers to {sent}, {} lost, {} unasked, {} unsent",
+            "{responses} responses to {sent} requests, {} lost, {} unexpected messages, {} unsent",
             clients.lost, clients.unexpected_messages, clients.unsent
         ),
     }
--- a/scale/src/real_point/measurements.rs
+++ b/scale/src/real_point/measurements.rs
@@ -1,4 +1,4 @@
-//! What is measured of a point with real proxies.
+//! Measurements of a point with real proxies.
 
 use crate::backends::BackendCounters;
 use crate::clients::ClientCounters;
@@ -6,23 +6,22 @@
 use crate::phase::MeasuredPhase;
 use std::time::Duration;
 
-/// What was measured of the point.
 pub(super) struct Measurements {
-    /// From its start to its readiness, for each proxy; none for one that did not come so far.
+    /// Time from start to readiness of each proxy; `None` if it did not become ready in time.
     pub time_to_ready: Vec<Option<Duration>>,
-    /// Mean memory of the proxies before the load, in bytes.
+    /// Mean resident memory of the proxies before the load phase, in bytes.
     pub memory: Option<f64>,
-    /// The same after it.
+    /// Mean resident memory of the proxies after the load phase, in bytes.
     pub memory_after_load: Option<f64>,
     pub rest: MeasuredPhase,
     pub change: MeasuredPhase,
-    /// Entries that changed in the phase of changes.
+    /// Entries changed during the change phase.
     pub changed_entries: u64,
     pub load: MeasuredPhase,
     pub clients: ClientCounters,
     pub backends: BackendCounters,
-    /// Of all phases, with the peaks of the load.
+    /// Counts over all phases; the peaks are those of the load phase.
     pub discovery: DiscoveryCounters,
-    /// How each proxy exited; none where a signal ended it or nothing did in time.
+    /// Exit code of each proxy; `None` if a signal ended it or it did not exit in time.
     pub exit_codes: Vec<Option<i32>>,
 }
--- a/scale/src/real_point/mod.rs
+++ b/scale/src/real_point/mod.rs
@@ -1,4 +1,5 @@
-//! A point with processes of the real proxy: rest, changes of the list, load with its events, the shutdown.
+//! A point with processes of the real proxy. Its phases are start, rest, changes of the endpoint list, load
+//! with events, and shutdown.
 
 mod figures;
 mod measurements;
@@ -29,13 +30,13 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// How often the clients' progress is looked at.
+/// Interval at which the clients are polled for completion.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Why a point could not be run.
+/// Error while running a point with real proxies.
 #[derive(Debug, thiserror::Error)]
 pub enum RealPointError {
-    /// A backend cannot listen.
+    /// A backend could not listen.
     #[error(transparent)]
     Listen(#[from] ListenError),
     /// A thread could not be started.
@@ -50,20 +51,20 @@
     /// The clients could not be started.
     #[error(transparent)]
     Clients(#[from] ClientsError),
-    /// An event could not be run.
+    /// An event failed.
     #[error(transparent)]
     Event(#[from] EventError),
 }
 
-/// What the point runs on.
+/// Components of a running point.
 struct Deployment {
-    /// Dropped first: the proxies end before their discovery does.
+    /// Declared first, and so dropped first: the proxies end before the discovery service does.
     proxies: Rc<ProxyProcesses>,
     discovery: Rc<Discovery>,
     backends: Arc<BackendFleet>,
 }
 
-/// Control of the proxies of a point.
+/// Controls the proxy processes on behalf of events.
 struct ProcessControl {
     point: Point,
     proxies: Rc<ProxyProcesses>,
@@ -79,7 +80,7 @@
     }
 }
 
-/// Runs a point with this program; its configuration files go to `directory`.
+/// Runs a point with the real proxy at `program`, whose configuration files are written to `directory`.
 pub async fn run(
     point: &Point, program: &Path, directory: &WorkDirectory,
 ) -> Result<PointResult, RealPointError> {
@@ -99,7 +100,7 @@
     Ok(figures::result(point, &measurements))
 }
 
-/// The endpoint list as JSON.
+/// Returns the current endpoint list as JSON.
 fn endpoint_list_json(discovery: &Discovery) -> Value {
     serde_json::from_slice(&discovery.snapshot().body).unwrap_or_default()
 }
@@ -135,7 +136,7 @@
         phase::measure(&self.discovery, || self.proxies.cpu_time_s(), work).await
     }
 
-    /// Requests for the time of the load, with its events; ends with the last answer.
+    /// Runs the load phase with its events, and returns once every request has an outcome.
     async fn run_load(&self, point: &Point) -> Result<ClientCounters, RealPointError> {
         let clients = Clients::start(point, &self.proxies.addresses())?;
         let control = ProcessControl { point: point.clone(), proxies: self.proxies.clone() };
--- a/scale/src/real_point/processes.rs
+++ b/scale/src/real_point/processes.rs
@@ -1,4 +1,4 @@
-//! The proxies of a point: processes of the real program.
+//! The proxies of a point, as processes of the real proxy.
 
 use crate::plan::Point;
 use crate::proxy_process::{ProcessError, ProxyProcess};
@@ -11,17 +11,17 @@
 use std::time::{Duration, Instant};
 use tokio::time::sleep;
 
-/// How long a proxy may take to exit, beside the longest deadline.
+/// Time that a proxy may take to exit after SIGTERM, in addition to the request deadline.
 const SHUTDOWN_GRACE: Duration = Duration::from_secs(4);
-/// How often it is looked whether the proxies have exited.
+/// Interval at which the processes are polled for their exit.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// The proxies of a point; they are killed when this is dropped.
+/// The proxy processes of a point; dropping it kills those that still run.
 pub(super) struct ProxyProcesses {
     processes: RefCell<Vec<ProxyProcess>>,
 }
 
-/// When a proxy was started, and where it listens.
+/// Start time and listen address of a proxy.
 #[derive(Clone, Copy)]
 pub(super) struct StartedProxy {
     pub address: SocketAddr,
@@ -29,7 +29,8 @@
 }
 
 impl ProxyProcesses {
-    /// Starts all of them, one after the other.
+    /// Starts all proxies of the point, one after the other. `cached_list` is the endpoint list that they
+    /// start with, if any.
     pub fn start(
         point: &Point, program: &Path, directory: &Path, discovery: SocketAddr, cached_list: Option<&Value>,
     ) -> Result<ProxyProcesses, ProcessError> {
@@ -56,19 +57,19 @@
         self.processes.borrow().iter().map(|process| process.address).collect()
     }
 
-    /// Processor time of all proxies, in seconds.
+    /// Returns the CPU time of all proxies together, in seconds.
     pub fn cpu_time_s(&self) -> Option<f64> {
         self.processes.borrow().iter().map(|process| process.stats().cpu_time_s()).sum()
     }
 
-    /// Mean memory of the proxies, in bytes.
+    /// Returns the mean resident memory of the proxies, in bytes.
     pub fn mean_memory_bytes(&self) -> Option<f64> {
         let processes = self.processes.borrow();
         let total: Option<u64> = processes.iter().map(|process| process.stats().memory_bytes()).sum();
         total.map(|total| total as f64 / processes.len() as f64)
     }
 
-    /// Gives all proxies the new address of discovery.
+    /// Reconfigures all proxies with the new address of discovery.
     pub fn reload(&self, point: &Point, discovery: SocketAddr) -> Result<(), ProcessError> {
         for (process, proxy_index) in self.processes.borrow().iter().zip(0_u32..) {
             process.reload(&proxy_config(point, proxy_index, discovery))?;
@@ -76,12 +77,12 @@
         Ok(())
     }
 
-    /// Sends SIGTERM to all; yields the exit code of each, none where a signal ended it or nothing did in
-    /// time.
+    /// Sends SIGTERM to all proxies and waits for them to exit. Returns each exit code, or `None` if a signal
+    /// ended the proxy or it did not exit in time.
     pub async fn shut_down(&self, longest_deadline: Duration) -> Vec<Option<i32>> {
         for process in self.processes.borrow().iter() {
             if let Err(error) = process.terminate() {
-                tracing::error!("SIGTERM: {error}");
+                tracing::error!("shutdown of a proxy: {error}");
             }
         }
         let limit = Instant::now() + longest_deadline + SHUTDOWN_GRACE;
@@ -102,7 +103,7 @@
     }
 }
 
-/// The configuration of one proxy.
+/// Returns the configuration file's content for one proxy.
 fn proxy_config(point: &Point, proxy_index: u32, discovery: SocketAddr) -> Value {
     json!({
         "name": format!("n{proxy_index}"),
--- a/scale/src/real_point/program.rs
+++ b/scale/src/real_point/program.rs
@@ -1,23 +1,23 @@
-//! Where the real proxy is, and where its configuration files go.
+//! Locates the real proxy's program, and creates the directory for configuration files.
 
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// The file name of the real proxy.
+/// File name of the real proxy's program.
 const PROGRAM_NAME: &str = "load-balancer-proxy";
 
-/// Why the real proxy was not found.
+/// Error while locating the real proxy.
 #[derive(Debug, thiserror::Error)]
 pub enum ProgramError {
-    /// The path of this program is not known.
-    #[error("the path of this program: {0}")]
+    /// The path of this program could not be determined.
+    #[error("cannot determine the path of this program: {0}")]
     OwnPath(io::Error),
-    /// There is no file at the path.
+    /// There is no file at this path.
     #[error("program: expected the built proxy at {}", .0.display())]
     NotFound(PathBuf),
 }
 
-/// The real proxy: at the configured path, or beside this program.
+/// Returns the path of the real proxy: the configured one, or the one in the directory of this program.
 pub fn find_program(configured: Option<&Path>) -> Result<PathBuf, ProgramError> {
     let own = std::env::current_exe().map_err(ProgramError::OwnPath)?;
     let path = configured.map_or_else(|| own.with_file_name(PROGRAM_NAME), Path::to_path_buf);
@@ -28,21 +28,21 @@
     }
 }
 
-/// The directory could not be made.
+/// The directory for configuration files could not be created.
 #[derive(Debug, thiserror::Error)]
-#[error("{}: {source}", path.display())]
+#[error("cannot create the directory {}: {source}", path.display())]
 pub struct WorkDirectoryError {
     path: PathBuf,
     source: io::Error,
 }
 
-/// A directory for configuration files; it is removed when this is dropped.
+/// A temporary directory for configuration files, removed on drop.
 pub struct WorkDirectory {
     path: PathBuf,
 }
 
 impl WorkDirectory {
-    /// Makes one of this process's own.
+    /// Creates a directory that is named after this process's id.
     pub fn create() -> Result<WorkDirectory, WorkDirectoryError> {
         let path = std::env::temp_dir().join(format!("scale-test-{}", std::process::id()));
         match std::fs::create_dir_all(&path) {
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Where it is.
+    /// Returns the path of the directory.
     pub fn path(&self) -> &Path {
         &self.path
     }
--- a/scale/src/real_point/readiness.rs
+++ b/scale/src/real_point/readiness.rs
@@ -8,15 +8,14 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
 
-/// How often a proxy is asked.
+/// Interval at which a proxy is polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
-/// Asks whether a proxy is ready.
+/// Request to a proxy's readiness endpoint.
 const READINESS_REQUEST: &[u8] = b"GET /-/ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
-/// Length of the version and the status in an answer, in bytes.
+/// Length of the HTTP version and the status code at the start of a response, in bytes.
 const STATUS_LENGTH: usize = 12;
 
-/// How long each proxy took from its start to its readiness; none for one that was not ready within the
-/// limit.
+/// Returns the time from start to readiness of each proxy, or `None` if it was not ready within `limit`.
 pub(super) async fn wait_until_ready(proxies: &ProxyProcesses, limit: Duration) -> Vec<Option<Duration>> {
     let mut tasks = Vec::new();
     for proxy in proxies.started_proxies() {
--- a/scale/src/report.rs
+++ b/scale/src/report.rs
@@ -1,4 +1,4 @@
-//! The results of a plan: JSON lines for programs, a table for people.
+//! Formats the results of a plan as JSON lines and as a table.
 
 use crate::linear_fit;
 use crate::plan::Plan;
@@ -6,7 +6,7 @@
 use serde_json::{json, Map, Value};
 use std::fmt::Write;
 
-/// A result as one line of JSON.
+/// Formats the result of a point as one line of JSON. `number` is the index of the point in the plan.
 pub fn json_line(plan: &Plan, number: usize, result: &PointResult) -> String {
     let figure = |figure: &Figure| (figure.name.to_string(), json!(figure.value));
     let check = |check: &Check| json!({"name": check.name, "holds": check.passed, "seen": check.observed});
@@ -25,8 +25,8 @@
     line.to_string()
 }
 
-/// All results as a table: a column for each point, and what the line through all but the largest predicts
-/// for that.
+/// Formats all results as a table, with a column per point, and the prediction of the linear fit for the
+/// largest point.
 pub fn table(plan: &Plan, results: &[PointResult]) -> String {
     let mut text = format!("{}\n", plan.name);
     push_row(&mut text, &plan.over, &head_cells(results));
--- a/scale/src/runner.rs
+++ b/scale/src/runner.rs
@@ -1,4 +1,4 @@
-//! Runs the points of a plan one after the other and prints what came of them.
+//! Runs the points of a plan one after the other and prints the results.
 
 use crate::balancer_point::{self, BalancerPointError};
 use crate::plan::{Plan, PlanKind, Point};
@@ -12,72 +12,72 @@
 use tokio::signal::unix::{signal, Signal, SignalKind};
 use tokio::task::LocalSet;
 
-/// As the file of JSON lines: standard output.
+/// Path that stands for standard output as the target of the JSON lines.
 const STANDARD_OUTPUT: &str = "-";
 
-/// Whether what has to hold did.
+/// Outcome of the checks of a plan.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Every check holds.
+    /// Every check passed.
     Passed,
-    /// A check failed.
+    /// At least one check failed.
     Failed,
 }
 
-/// Why a plan was not run to its end.
+/// Error that stops a plan.
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
-    /// No runtime.
-    #[error("runtime: {0}")]
+    /// The runtime could not be created.
+    #[error("cannot create the runtime: {0}")]
     Runtime(io::Error),
-    /// A signal cannot be received.
-    #[error("{name}: {source}")]
+    /// A signal handler could not be installed.
+    #[error("cannot handle {name}: {source}")]
     SignalHandler {
         /// Name of the signal.
         name: &'static str,
-        /// What the system said.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// A signal ended it.
+    /// A signal stopped the plan.
     #[error("ended by {0}")]
     Interrupted(&'static str),
-    /// The plan's time is over.
-    #[error("longest_s: {seconds} s are over")]
+    /// The plan exceeded its maximum duration.
+    #[error("plan stopped after longest_s = {seconds} s")]
     TimedOut {
-        /// The plan's time.
+        /// Maximum duration of the plan, in seconds.
         seconds: f64,
     },
-    /// The file of JSON lines could not be made.
-    #[error("json: {}: {source}", path.display())]
+    /// The file for the JSON lines could not be created.
+    #[error("cannot create {}: {source}", path.display())]
     JsonFile {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What the system said.
+        /// Error of the operating system.
         source: io::Error,
     },
     /// A JSON line could not be written.
-    #[error("json: {0}")]
+    #[error("cannot write a JSON line: {0}")]
     JsonLine(io::Error),
     /// The real proxy was not found.
     #[error(transparent)]
     Program(#[from] ProgramError),
-    /// There is no place for configuration files.
+    /// The directory for configuration files could not be created.
     #[error(transparent)]
     WorkDirectory(#[from] WorkDirectoryError),
-    /// A point with real proxies could not be run.
+    /// A point with real proxies failed.
     #[error(transparent)]
     RealPoint(#[from] RealPointError),
-    /// A point with simulated proxies could not be run.
+    /// A point with simulated proxies failed.
     #[error(transparent)]
     SimulatedPoint(#[from] SimulatedPointError),
-    /// A point with bare decisions could not be run.
+    /// A point with the balancer alone failed.
     #[error(transparent)]
     BalancerPoint(#[from] BalancerPointError),
 }
 
-/// Runs all points. Results go as JSON lines to the file `json`, `-` for standard output, which then takes no
-/// table. All that was started ends with the future that holds it, also where a signal or the plan's time
-/// ends that.
+/// Runs all points of a plan and prints the table of results. If `json` is given, also writes JSON lines to
+/// that file; `-` writes them to standard output instead of the table. SIGTERM, SIGINT and the plan's maximum
+/// duration stop the run and everything that it started.
 pub fn run(plan: &Plan, json: Option<&Path>) -> Result<Verdict, RunError> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(RunError::Runtime)?;
@@ -106,7 +106,7 @@
     signal(kind).map_err(|source| RunError::SignalHandler { name, source })
 }
 
-/// Each result is written as JSON as soon as it is there.
+/// Runs the points in order, and writes the JSON line of each as soon as it has ended.
 async fn run_points(plan: &Plan, json: Option<&Path>) -> Result<Vec<PointResult>, RunError> {
     let mut json_lines = json.map(open_json).transpose()?;
     let point_runner = PointRunner::new(plan)?;
@@ -133,7 +133,7 @@
     }
 }
 
-/// What the points of a plan are run with.
+/// Runs the points of a plan with its kind of proxies.
 struct PointRunner {
     proxies: ProxyKind,
     directory: WorkDirectory,
--- a/scale/src/simulated_point/figures.rs
+++ b/scale/src/simulated_point/figures.rs
@@ -1,10 +1,9 @@
-//! The figures and checks of a point with simulated proxies.
+//! Figures and checks of a point with simulated proxies.
 
 use super::measurements::Measurements;
 use crate::plan::{EventKind, Point};
 use crate::point_result::{Check, Figure, PointResult};
 
-/// The result of a point.
 pub(super) fn result(point: &Point, measurements: &Measurements) -> PointResult {
     let mut figures = cost_figures(point, measurements);
     figures.extend(discovery_figures(measurements));
@@ -91,14 +90,17 @@
     let expected = proxies.planned - proxies.dropped_at_restart;
     vec![
         Check {
-            name: "every proxy has its list at the start, and again after a return",
+            name: "every proxy receives the endpoint list at the start, and again after a restart",
             passed: *ready_at_start == proxy_count && ready_at_end == proxy_count,
             observed: format!("{ready_at_start} of {proxy_count}, {ready_at_end} at the end"),
         },
         Check {
-            name: "every request taken has one final answer",
+            name: "every request that a ready proxy receives gets exactly one final answer",
             passed: answers == expected && proxies.unanswered == 0 && proxies.duplicate_answers == 0,
-            observed: format!("{answers} answers to {expected}, {} twice", proxies.duplicate_answers),
+            observed: format!(
+                "{answers} answers to {expected} requests, {} duplicate answers",
+                proxies.duplicate_answers
+            ),
         },
         backends.drain_check(),
     ]
--- a/scale/src/simulated_point/mod.rs
+++ b/scale/src/simulated_point/mod.rs
@@ -1,5 +1,5 @@
-//! A point with simulated proxies: start, rest, changes of the list, load with its events. What this process
-//! takes, it takes for the proxies and for the stand-in of discovery together.
+//! A point with simulated proxies. Its phases are start, rest, changes of the endpoint list, and load with
+//! events. CPU time is measured for this whole process, so it includes the simulated discovery service.
 
 mod figures;
 mod measurements;
@@ -23,12 +23,12 @@
 use std::time::{Duration, Instant};
 use tokio::time::sleep;
 
-/// How often the progress of the proxies is looked at.
+/// Interval at which the proxies are polled for progress.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// The port of all backends.
+/// Port of all backends; nothing listens on it.
 const BACKEND_PORT: u16 = 80;
 
-/// Why a point could not be run.
+/// Error while running a point with simulated proxies.
 #[derive(Debug, thiserror::Error)]
 pub enum SimulatedPointError {
     /// Discovery could not be started.
@@ -37,14 +37,14 @@
     /// The proxies could not be started.
     #[error(transparent)]
     Simulation(#[from] SimulationError),
-    /// An event could not be run.
+    /// An event failed.
     #[error(transparent)]
     Event(#[from] EventError),
 }
 
-/// What the point runs on.
+/// Components of a running point.
 struct Deployment {
-    /// Dropped first: the proxies end before their discovery does.
+    /// Declared first, and so dropped first: the proxies end before the discovery service does.
     proxies: Rc<ProxyFleet>,
     discovery: Rc<Discovery>,
     backends: Arc<BackendFleet>,
@@ -62,7 +62,7 @@
     }
 }
 
-/// Runs a point.
+/// Runs a point with simulated proxies.
 pub async fn run(point: &Point) -> Result<PointResult, SimulatedPointError> {
     let addresses: Vec<SocketAddr> =
         (0..point.backends).map(|number| backend_address(number, BACKEND_PORT)).collect();
@@ -72,7 +72,7 @@
         (0..addresses.len()).map(|number| (backend_id(&backend_name(number)), number)).collect();
     let discovery =
         Rc::new(Discovery::start(EndpointList::new(point, &addresses), CallCosts::for_point(point))?);
-    // Written before the memory is read: the first response is not the proxies' memory.
+    // Builds and caches the first response now, so that it does not count as memory of the proxies.
     discovery.snapshot();
     let memory_before = ProcessStats::for_current_process().memory_bytes();
     let proxies = ProxyFleet::start(point, &backends, backend_numbers, discovery.address())?;
@@ -113,19 +113,19 @@
         phase::measure(&self.discovery, || ProcessStats::for_current_process().cpu_time_s(), work).await
     }
 
-    /// Waits until all proxies have their list, or the time for it is over; how many have.
+    /// Waits until all proxies are ready or `ready_s` has elapsed. Returns the number of ready proxies.
     async fn wait_until_ready(&self, point: &Point) -> u64 {
-        let limit = Instant::now() + Duration::from_secs_f64(point.ready_s);
+        let give_up_at = Instant::now() + Duration::from_secs_f64(point.ready_s);
         loop {
             let ready = self.proxies.counters().time_to_ready.count();
-            if ready >= u64::from(point.proxies) || Instant::now() >= limit {
+            if ready >= u64::from(point.proxies) || Instant::now() >= give_up_at {
                 return ready;
             }
             sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Requests for the time of the load, with its events; ends with the last proxy.
+    /// Runs the load phase with its events, and returns once all proxies have ended.
     async fn run_load(&self, point: &Point) -> Result<(), EventError> {
         let duration = Duration::from_secs_f64(point.load_s);
         let start = Instant::now();
--- a/scale/src/simulated_proxy/clock.rs
+++ b/scale/src/simulated_proxy/clock.rs
@@ -1,9 +1,9 @@
-//! The clock of a simulated proxy.
+//! Clock of a simulated proxy.
 
 use load_balancer::Time;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Unix microseconds at the start, carried on by the monotonic clock.
+/// Unix time in microseconds: read from the system clock once, then advanced by the monotonic clock.
 #[derive(Clone, Copy)]
 pub(super) struct Clock {
     started_at: Instant,
--- a/scale/src/simulated_proxy/context.rs
+++ b/scale/src/simulated_proxy/context.rs
@@ -1,4 +1,4 @@
-//! What every simulated proxy of a point shares with the others.
+//! State that all simulated proxies of a point share.
 
 use super::counters::SharedCounters;
 use crate::backends::BackendFleet;
@@ -10,31 +10,31 @@
 use std::time::Instant;
 use tokio::sync::watch;
 
-/// What the proxies are to do.
+/// Activity of the proxies in the current phase of the point.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum ProxyActivity {
-    /// Follow the list.
+    /// Watch the endpoint list, without requests.
     Idle,
-    /// Take requests, too.
+    /// Watch the endpoint list and receive requests.
     Load {
-        /// No request comes from then on.
+        /// End of the arrivals.
         until: Instant,
     },
-    /// End once every request has its answer.
+    /// End once every request has its final answer.
     Shutdown,
 }
 
-/// What each proxy is given.
+/// Shared state that each proxy gets a clone of.
 #[derive(Clone)]
 pub(super) struct ProxyContext {
     pub point: Point,
     pub backends: Arc<BackendFleet>,
-    /// The numbers of the backends by their ids.
+    /// Index of each backend in `backends`, by id.
     pub backend_numbers: Arc<HashMap<BackendId, usize>>,
     pub counters: SharedCounters,
     pub activity: watch::Receiver<ProxyActivity>,
-    /// Where discovery listens.
+    /// Current address of discovery.
     pub discovery: watch::Receiver<SocketAddr>,
-    /// How often all proxies were restarted.
+    /// Number of restarts of all proxies so far.
     pub restarts: watch::Receiver<u32>,
 }
--- a/scale/src/simulated_proxy/counters.rs
+++ b/scale/src/simulated_proxy/counters.rs
@@ -1,35 +1,36 @@
-//! What the simulated proxies of a point count together.
+//! Counters that the simulated proxies of a point share.
 
 use crate::latency::{HistogramError, LatencyHistogram};
 use crate::locking::lock;
 use std::sync::{Arc, Mutex, MutexGuard};
 
-/// What all proxies counted.
+/// Counters summed over all proxies.
 #[derive(Clone)]
 pub struct ProxyCounters {
-    /// Requests that came to a proxy with a list.
+    /// Requests that arrived at ready proxies.
     pub planned: u64,
-    /// Those served.
+    /// Requests answered with the response of a backend.
     pub served: u64,
-    /// Those rejected.
+    /// Requests that the balancer rejected.
     pub rejected: u64,
-    /// Those failed.
+    /// Requests that the balancer failed.
     pub failed: u64,
-    /// Those without an answer some ticks after their deadline.
+    /// Requests without a final answer by the end of the grace period after their deadline.
     pub unanswered: u64,
-    /// Further answers to requests that had one.
+    /// Rejections and failures of requests that already had a final answer.
     pub duplicate_answers: u64,
-    /// Requests that came while a proxy had no list: a platform would have sent them elsewhere.
+    /// Requests that arrived at proxies that were not ready, and were dropped. A platform would not route
+    /// requests to these proxies.
     pub arrived_before_ready: u64,
-    /// Requests that a restarted proxy left without an answer.
+    /// Requests that had no final answer when their proxy was restarted.
     pub dropped_at_restart: u64,
-    /// Attempts that were dispatched.
+    /// Attempts dispatched to backends.
     pub attempts: u64,
-    /// Losses of the subscription.
+    /// Number of times that a proxy lost its subscription to the endpoint list.
     pub subscriptions_lost: u64,
-    /// Time from arrival to answer less the backend's own.
+    /// Time from arrival to response minus the backend's service time, for served requests.
     pub added_latency: LatencyHistogram,
-    /// From a proxy's start to its first list with a ready backend, since the last restart.
+    /// Time from a proxy's start to its first list with a ready backend. Cleared when all proxies restart.
     pub time_to_ready: LatencyHistogram,
 }
 
@@ -52,7 +53,7 @@
     }
 }
 
-/// The counters, shared by all proxies.
+/// Handle to the counters that all proxies share.
 #[derive(Clone)]
 pub(super) struct SharedCounters(Arc<Mutex<ProxyCounters>>);
 
--- a/scale/src/simulated_proxy/endpoint_watch.rs
+++ b/scale/src/simulated_proxy/endpoint_watch.rs
@@ -1,4 +1,4 @@
-//! The watch of one simulated proxy on the endpoint list.
+//! Watch of one simulated proxy on the endpoint list.
 
 use super::clock::Clock;
 use crate::platform::{spawn_watch, WatchOptions};
@@ -10,9 +10,9 @@
 use tokio::sync::{mpsc, watch, Notify};
 use tokio::task::JoinHandle;
 
-/// Changes that may wait for a proxy, which takes them at once.
+/// Maximum number of list changes that wait for a proxy; further ones are dropped with an error in the log.
 const CHANGE_QUEUE_CAPACITY: usize = 1_024;
-/// A connection to discovery that is not up after this time does not come up.
+/// Timeout of a connection attempt to discovery.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// A change of the endpoint list.
@@ -21,7 +21,7 @@
     pub backends: Vec<Backend>,
 }
 
-/// A running watch; dropping it ends it.
+/// A running watch; dropping it stops the watch.
 pub(super) struct EndpointWatch {
     resubscribe: Rc<Notify>,
     changes: mpsc::Receiver<EndpointListChange>,
@@ -43,19 +43,21 @@
             now: Box::new(move || clock.now()),
             deliver: Box::new(move |update, backends| {
                 if sender.try_send(EndpointListChange { update, backends }).is_err() {
-                    tracing::error!("a proxy does not take its list changes");
+                    tracing::error!(
+                        "endpoint list change dropped: the queue of a simulated proxy is full or closed"
+                    );
                 }
             }),
         });
         EndpointWatch { resubscribe, changes, task }
     }
 
-    /// The next change; `None` once the watch has ended.
+    /// Waits for the next change; returns `None` once the watch has ended.
     pub async fn next_change(&mut self) -> Option<EndpointListChange> {
         self.changes.recv().await
     }
 
-    /// Asks for the next call.
+    /// Requests the next subscription call.
     pub fn resubscribe(&self) {
         self.resubscribe.notify_one();
     }
--- a/scale/src/simulated_proxy/error.rs
+++ b/scale/src/simulated_proxy/error.rs
@@ -1,23 +1,23 @@
-//! Why simulated proxies could not be started.
+//! Errors of simulated proxies.
 
 use crate::latency::HistogramError;
 use crate::local_runtime::ThreadError;
 use load_balancer::wire::WireError;
 use load_balancer::ConfigError;
 
-/// Why simulated proxies could not be started.
+/// Error while starting simulated proxies.
 #[derive(Debug, thiserror::Error)]
 pub enum SimulationError {
-    /// Their latencies cannot be recorded.
+    /// A latency histogram could not be created.
     #[error(transparent)]
     Histogram(#[from] HistogramError),
     /// A thread could not be started.
     #[error(transparent)]
     Thread(#[from] ThreadError),
-    /// The library refused a proxy's settings.
+    /// The library rejected a proxy's settings.
     #[error(transparent)]
     Settings(#[from] WireError),
-    /// The balancer refused a proxy's configuration.
+    /// The balancer rejected a proxy's configuration.
     #[error(transparent)]
     Config(#[from] ConfigError),
 }
--- a/scale/src/simulated_proxy/fleet.rs
+++ b/scale/src/simulated_proxy/fleet.rs
@@ -1,4 +1,4 @@
-//! The threads that share the simulated proxies of a point.
+//! All simulated proxies of a point, distributed over a fixed number of threads.
 
 use super::context::{ProxyActivity, ProxyContext};
 use super::counters::{ProxyCounters, SharedCounters};
@@ -16,10 +16,10 @@
 use tokio::sync::watch;
 use tokio::task::JoinSet;
 
-/// Threads that share the proxies.
+/// Number of threads that the proxies are distributed over.
 const THREADS: u32 = 6;
 
-/// All simulated proxies of a point; dropping it ends their threads.
+/// All simulated proxies of a point; dropping it stops them.
 pub struct ProxyFleet {
     counters: SharedCounters,
     activity: watch::Sender<ProxyActivity>,
@@ -29,8 +29,8 @@
 }
 
 impl ProxyFleet {
-    /// Starts all of them; `backend_numbers` gives the number of each backend in `backends` by its id,
-    /// `discovery` is where discovery listens.
+    /// Starts all proxies. `backend_numbers` maps the id of each backend to its index in `backends`;
+    /// `discovery` is the address of the discovery service.
     pub fn start(
         point: &Point, backends: &Arc<BackendFleet>, backend_numbers: HashMap<BackendId, usize>,
         discovery: SocketAddr,
@@ -51,44 +51,44 @@
         let mut threads = Vec::new();
         for thread in 0..THREADS {
             let context = context.clone();
-            threads.push(spawn_local_runtime("hollow", move || run_proxies(thread, context))?);
+            threads.push(spawn_local_runtime("simulated-proxy", move || run_proxies(thread, context))?);
         }
         Ok(ProxyFleet { counters, activity, discovery, restarts, threads })
     }
 
-    /// What they counted so far.
+    /// Returns a snapshot of the counters.
     pub fn counters(&self) -> ProxyCounters {
         self.counters.snapshot()
     }
 
-    /// Gives all of them the new address of discovery.
+    /// Notifies all proxies of the new address of discovery.
     pub fn discovery_relocated(&self, address: SocketAddr) {
         self.discovery.send_replace(address);
     }
 
-    /// All end and start again at once, without a list.
+    /// Restarts all proxies at once, without a cached endpoint list.
     pub fn restart_all(&self) {
         self.counters.lock().time_to_ready.clear();
         self.restarts.send_modify(|restarts| *restarts += 1);
     }
 
-    /// Requests come for this time.
+    /// Starts the arrival of requests, which ends after `duration`.
     pub fn start_load(&self, duration: Duration) {
         self.activity.send_replace(ProxyActivity::Load { until: Instant::now() + duration });
     }
 
-    /// All end once every request has its answer.
+    /// Ends each proxy once every request has its final answer; returns immediately.
     pub fn shut_down(&self) {
         self.activity.send_replace(ProxyActivity::Shutdown);
     }
 
-    /// Whether all have ended.
+    /// Returns whether all proxies have ended.
     pub fn has_ended(&self) -> bool {
         self.threads.iter().all(JoinHandle::is_finished)
     }
 }
 
-/// Runs the proxies of one thread to their end.
+/// Runs the proxies of one thread until all have ended.
 async fn run_proxies(thread: u32, context: ProxyContext) {
     let mut running = JoinSet::new();
     for proxy_index in (thread..context.point.proxies).step_by(THREADS as usize) {
@@ -96,7 +96,7 @@
             Ok(proxy) => {
                 running.spawn_local(proxy.run());
             }
-            Err(error) => tracing::error!("proxy {proxy_index}: {error}"),
+            Err(error) => tracing::error!("proxy {proxy_index}: cannot start: {error}"),
         }
     }
     while running.join_next().await.is_some() {}
--- a/scale/src/simulated_proxy/mod.rs
+++ b/scale/src/simulated_proxy/mod.rs
@@ -1,6 +1,6 @@
-//! Simulated proxies: the real decisions and the real watch on discovery, hundreds in one process, without
-//! sockets to clients or backends. Arrivals are drawn at random, and attempts go to the backends' model in
-//! memory.
+//! Simulated proxies: hundreds in one process, with the real balancer and the real discovery client, but
+//! without sockets to clients or backends. Arrivals are random, and attempts are served by the in-memory
+//! model of the backends.
 
 mod clock;
 mod context;
--- a/scale/src/simulated_proxy/proxy/arrivals.rs
+++ b/scale/src/simulated_proxy/proxy/arrivals.rs
@@ -1,11 +1,11 @@
-//! Requests that come to a simulated proxy.
+//! Arrival of requests at a simulated proxy.
 
 use super::{Deadline, OpenRequest, Proxy, ProxyActivity};
 use load_balancer::{ClassId, Event, Micros, RequestArrival, RequestId, TenantId, Time};
 use std::collections::HashMap;
 
 impl Proxy {
-    /// Draws the arrival after the one that is next; none once the load is over.
+    /// Replaces the next arrival by the one after it; `None` if that is after the end of the load phase.
     pub(super) fn schedule_next_arrival(&mut self) {
         let point = &self.context.point;
         let rate_per_s = point.rate_per_s / f64::from(point.proxies);
@@ -18,7 +18,7 @@
             self.next_arrival.map(|arrival| arrival + wait).filter(|arrival| *arrival < load_ends_at);
     }
 
-    /// Takes the requests that have come.
+    /// Receives all requests that are due by `now`. Requests at a proxy that is not ready are only counted.
     pub(super) fn receive_due_requests(&mut self, now: Time) {
         while let Some(arrived_at) = self.next_arrival.filter(|arrival| *arrival <= now) {
             self.schedule_next_arrival();
--- a/scale/src/simulated_proxy/proxy/attempts.rs
+++ b/scale/src/simulated_proxy/proxy/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts of a simulated proxy: their dispatch to the backends' model, and their ends.
+//! Attempts of a simulated proxy: dispatch to the in-memory backends, and completion.
 
 use super::Proxy;
 use crate::backends::BackendResponse;
@@ -6,21 +6,21 @@
 use std::cmp::Reverse;
 use std::time::Instant;
 
-/// A rejected attempt ends after this time.
+/// Latency of an attempt that the backend rejects.
 const REJECTION_TIME: Micros = Micros(1_000);
 
-/// The end of an attempt in flight. The earliest comes first; of equal ones that of the earliest request.
+/// The scheduled end of an attempt in flight, ordered by time, then by request.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct AttemptEnd {
     pub due_at: Time,
     request: RequestId,
     attempt: AttemptNumber,
     response: ResponseKind,
-    /// How long the backend took.
+    /// Time that the backend takes to respond; [`REJECTION_TIME`] for a rejection.
     service_time: Micros,
 }
 
-/// What a backend responds.
+/// Kind of a backend's response.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum ResponseKind {
     Rejected,
@@ -48,7 +48,7 @@
         self.attempt_ends.push(Reverse(AttemptEnd { due_at, request, attempt, response, service_time }));
     }
 
-    /// Ends the attempts whose backends have responded.
+    /// Ends all attempts whose responses are due.
     pub(super) fn end_due_attempts(&mut self, now: Time) {
         while let Some(end) = self.take_due_end(now) {
             self.backend_responded(now, end);
@@ -86,7 +86,7 @@
         self.attempt_ended(request, attempt, Outcome::Cancelled, now - dispatched_at);
     }
 
-    /// The balancer learns of the end of an attempt with the next tick.
+    /// Queues the end of an attempt as an event for the next tick.
     pub(super) fn attempt_ended(
         &mut self, request: RequestId, attempt: AttemptNumber, outcome: Outcome, latency: Micros,
     ) {
--- a/scale/src/simulated_proxy/proxy/deadlines.rs
+++ b/scale/src/simulated_proxy/proxy/deadlines.rs
@@ -1,12 +1,13 @@
-//! Deadlines of the requests of a simulated proxy.
+//! Request deadlines of a simulated proxy.
 
 use super::Proxy;
 use load_balancer::{AttemptNumber, Event, Micros, Outcome, RequestId, Time};
 
-/// This many ticks after its deadline a request without an answer counts as unanswered.
+/// Grace period after a request's deadline, in ticks. A request without a final answer by its end counts as
+/// unanswered.
 const GRACE_TICKS: u64 = 4;
 
-/// A request's deadline, or the end of its grace after that.
+/// The deadline of a request, or the end of the grace period after it. Ordered by time, then by request.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Deadline {
     pub due_at: Time,
@@ -14,8 +15,8 @@
 }
 
 impl Proxy {
-    /// At its deadline what is in flight of a request has timed out; some ticks later it must have had its
-    /// answer.
+    /// Times out the attempts in flight of each request whose deadline is due, and closes each request whose
+    /// grace period has ended.
     pub(super) fn expire_deadlines(&mut self, now: Time) {
         while let Some(deadline) = self.take_due_deadline(now) {
             let Some(open) = self.requests.get(&deadline.request) else { continue };
@@ -44,7 +45,7 @@
     }
 
     fn time_out_attempts(&mut self, now: Time, request: RequestId) {
-        // From the next tick on: the balancer decides in one after the deadline.
+        // The grace period starts at the next tick, because the balancer only acts in ticks.
         let grace = Micros(GRACE_TICKS * self.config.tick.0);
         self.deadlines.insert(Deadline { due_at: now.max(self.next_tick) + grace, request });
         let Some(open) = self.requests.get_mut(&request) else { return };
--- a/scale/src/simulated_proxy/proxy/decisions.rs
+++ b/scale/src/simulated_proxy/proxy/decisions.rs
@@ -1,11 +1,11 @@
-//! The balancer's rounds of decisions at a simulated proxy, and the actions that it asks for.
+//! Passes events to the balancer of a simulated proxy once per tick, and executes its actions.
 
 use super::super::counters::ProxyCounters;
 use super::Proxy;
 use load_balancer::{Action, Event, Micros, RequestId, Time};
 
 impl Proxy {
-    /// Hands all events since the last tick to the balancer.
+    /// Passes due timers and all events since the last tick to the balancer, and executes its actions.
     pub(super) fn run_tick(&mut self, now: Time) {
         while let Some(token) = self.timers.take_due(now) {
             self.events.push(Event::TimerFired { token });
@@ -25,7 +25,7 @@
         }
     }
 
-    /// An arrival has waited for the tick: its time left is that of now.
+    /// Updates the time left of an arrival, which has waited for the tick.
     fn with_current_time_left(&self, now: Time, mut event: Event) -> Event {
         if let Event::RequestArrived(arrival) = &mut event {
             let open = self.requests.get(&arrival.request);
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Counts the balancer's final answer to a request, or that it is not the first.
+    /// Counts a final answer of the balancer, or a duplicate if the request already has one.
     fn record_answer(&mut self, request: RequestId, count: impl FnOnce(&mut ProxyCounters)) {
         let Some(open) = self.requests.get_mut(&request) else { return };
         let mut counters = self.context.counters.lock();
--- a/scale/src/simulated_proxy/proxy/mod.rs
+++ b/scale/src/simulated_proxy/proxy/mod.rs
@@ -1,4 +1,4 @@
-//! One simulated proxy: a balancer, and the host that feeds it events and carries out its actions.
+//! One simulated proxy: a balancer, with the code that feeds it events and executes its actions.
 
 mod arrivals;
 mod attempts;
@@ -23,18 +23,18 @@
 use std::collections::{BTreeSet, BinaryHeap, HashMap, HashSet};
 use std::time::Instant;
 
-/// The longest sleep of a proxy that waits for nothing: an hour.
+/// Maximum sleep of a proxy without due work: one hour.
 const MAX_SLEEP: Micros = Micros(3_600_000_000);
 
-/// A request that is not over.
+/// A request whose deadline and grace period have not ended yet.
 struct OpenRequest {
     arrived_at: Time,
     deadline: Time,
-    /// Attempts that the balancer asked for.
+    /// Number of attempts that the balancer requested.
     attempt_count: u32,
-    /// When each attempt in flight was dispatched.
+    /// Dispatch time of each attempt in flight.
     in_flight: HashMap<AttemptNumber, Time>,
-    /// It has its final answer.
+    /// Whether the request has its final answer.
     is_answered: bool,
 }
 
@@ -47,9 +47,9 @@
     random: Random,
     balancer: Balancer,
     started_at: Instant,
-    /// It has had a list with a ready backend.
+    /// Whether the proxy has received a list with a ready backend since its start.
     is_ready: bool,
-    /// Backends that its list calls ready.
+    /// Backends that are ready according to the endpoint list.
     ready_backends: HashSet<BackendId>,
     requests: HashMap<RequestId, OpenRequest>,
     request_count: u64,
@@ -57,15 +57,15 @@
     attempt_ends: BinaryHeap<Reverse<AttemptEnd>>,
     deadlines: BTreeSet<Deadline>,
     timers: TimerQueue,
-    /// Events for the next round of decisions.
+    /// Events for the balancer, passed to it in the next tick.
     events: Vec<Event>,
-    /// When the next round of decisions may be.
+    /// Earliest time of the next tick.
     next_tick: Time,
     endpoint_watch: EndpointWatch,
 }
 
 impl Proxy {
-    /// A proxy that has just started, without a list. Has to be called inside a local task set.
+    /// Creates a proxy without an endpoint list and starts its watch. Must be called inside a `LocalSet`.
     pub fn new(proxy_index: u32, context: ProxyContext) -> Result<Proxy, SimulationError> {
         let config = read_config(&proxy_settings(&context.point, proxy_index))?;
         let seed = proxy_seed(context.point.seed, proxy_index);
@@ -86,7 +86,7 @@
             attempt_ends: BinaryHeap::new(),
             deadlines: BTreeSet::new(),
             timers: TimerQueue::default(),
-            // An empty cached list: only after a list does the balancer ask for the next.
+            // An empty cached list: the balancer only requests a subscription after it received a list.
             events: vec![Event::EndpointListChanged {
                 update: EndpointListUpdate::Cached,
                 backends: Vec::new(),
@@ -97,7 +97,7 @@
         })
     }
 
-    /// Runs until the fleet shuts down and every request has its answer.
+    /// Runs until the fleet shuts down and every request has its final answer.
     pub async fn run(mut self) {
         let mut activity = self.context.activity.clone();
         let mut restarts = self.context.restarts.clone();
@@ -113,7 +113,7 @@
                     let count = *restarts.borrow_and_update();
                     self = match self.restart(count) {
                         Ok(restarted) => restarted,
-                        Err(error) => return tracing::error!("a return: {error}"),
+                        Err(error) => return tracing::error!("cannot restart a simulated proxy: {error}"),
                     };
                 }
                 Some(change) = self.endpoint_watch.next_change() => self.endpoint_list_changed(change),
@@ -137,7 +137,8 @@
         }
     }
 
-    /// The proxy as a new process would start, with another seed for each restart; arrivals go on.
+    /// Replaces the proxy by a new one without a list, as a restart of the process would, with a different
+    /// seed for each restart. Arrivals continue.
     fn restart(self, restart_count: u32) -> Result<Proxy, SimulationError> {
         let dropped_at_restart = self.requests.values().filter(|request| !request.is_answered).count();
         self.context.counters.lock().dropped_at_restart += dropped_at_restart as u64;
@@ -148,8 +149,8 @@
         Ok(restarted)
     }
 
-    /// When time alone next brings something about. Decisions wait for the next tick; the end of an attempt
-    /// and a deadline do not.
+    /// Returns the time of the next due work. Timers, arrivals and queued events wait for the next tick; ends
+    /// of attempts and deadlines do not.
     fn next_wakeup(&self) -> Time {
         let events = if self.events.is_empty() { Time::NEVER } else { self.next_tick };
         let arrival = self.next_arrival.unwrap_or(Time::NEVER);
--- a/scale/src/site_settings.rs
+++ b/scale/src/site_settings.rs
@@ -1,27 +1,29 @@
-//! The settings that a platform would give the proxies of a point.
+//! Proxy settings of a point, as a platform would distribute them.
 
 use crate::naming::{class_name, is_idempotent, tenant_name, zone_name};
 use crate::plan::{DiscoveryMode, Point};
 use serde_json::{json, Value};
 
-/// The capacity with which a started backend begins, as a fraction of its full one.
+/// Capacity of a backend at the start of slow start, as a fraction of its full capacity.
 pub const SLOW_START_INITIAL_FRACTION: f64 = 0.3;
-/// A started backend reaches its full capacity after this time, in microseconds.
+/// Duration of slow start, in microseconds.
 pub const SLOW_START_US: u64 = 10_000_000;
-/// A warming backend is overloaded by more than this multiple of its present capacity ...
+/// Multiple of its current capacity above which a backend in slow start is overloaded, over
+/// [`OVERLOAD_WINDOW_US`].
 pub const OVERLOAD_MULTIPLE: f64 = 2.5;
-/// ... over this time, in microseconds.
+/// Window over which overload is measured, in microseconds.
 pub const OVERLOAD_WINDOW_US: u64 = 2_000_000;
-/// This long after a backend began to drain nothing may be sent to it any more, in microseconds.
+/// Time after the start of draining from which nothing may be sent to a backend, in microseconds.
 pub const STOP_SENDING_US: u64 = 1_000_000;
-/// The time between two rounds of decisions, in microseconds.
+/// Interval between two ticks of a balancer, in microseconds.
 const TICK_US: u64 = 4_000;
-/// A proxy that has not called discovery for this long counts as notified, in microseconds.
+/// Maximum interval between two discovery calls of a proxy, in microseconds. A proxy that has not called for
+/// longer counts as notified of every change.
 const MAX_CALL_INTERVAL_US: u64 = 10_000_000;
-/// Quotas of all tenants together, as a multiple of the planned rate.
+/// Sum of the quotas of all tenants, as a multiple of the planned request rate.
 const QUOTA_HEADROOM: f64 = 1.5;
 
-/// The settings of the proxy with this index in its fleet.
+/// Returns the settings of the proxy with this index in the fleet.
 pub fn proxy_settings(point: &Point, proxy_index: u32) -> Value {
     json!({
         "blend": {"whole": 0.7, "worst_class": 0.3},
--- a/scale/src/timer_queue.rs
+++ b/scale/src/timer_queue.rs
@@ -1,10 +1,10 @@
-//! The timers that a balancer asked for.
+//! Queue of the timers that a balancer sets.
 
 use load_balancer::{Time, TimerToken};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// Timers, the earliest first; of equal ones the lowest token.
+/// Pending timers, ordered by due time, then by token.
 #[derive(Default)]
 pub struct TimerQueue {
     timers: BinaryHeap<Reverse<Timer>>,
@@ -17,17 +17,17 @@
 }
 
 impl TimerQueue {
-    /// Adds a timer.
+    /// Adds a timer; timers with the same token do not replace each other.
     pub fn set(&mut self, due_at: Time, token: TimerToken) {
         self.timers.push(Reverse(Timer { due_at, token }));
     }
 
-    /// When the next timer is due; [`Time::NEVER`] without one.
+    /// Returns the due time of the next timer; [`Time::NEVER`] if there is none.
     pub fn next_due(&self) -> Time {
         self.timers.peek().map_or(Time::NEVER, |Reverse(timer)| timer.due_at)
     }
 
-    /// Takes the next timer if it is due.
+    /// Removes the next timer and returns its token, if it is due.
     pub fn take_due(&mut self, now: Time) -> Option<TimerToken> {
         if self.next_due() > now {
             return None;
--- a/scale/tests/backends.rs
+++ b/scale/tests/backends.rs
@@ -1,11 +1,11 @@
-//! What the simulated backends count, which verdicts rest on.
+//! Counters of the simulated backends, on which the checks of a point are based.
 
 use scale_test::backends::{slow_start_limit, BackendBehavior, BackendFleet, BackendResponse};
 use std::time::{Duration, Instant};
 
 #[test]
 fn slow_start_limit_grows_with_age_to_the_full_limit() {
-    // 2.5 times 0.3 of 50 a second over 2 s is 75.
+    // 2.5 times 0.3 of 50 requests per second, over 2 s, is 75.
     assert!((slow_start_limit(Duration::ZERO, 50.0) - (75.0 + 2.0 * 75_f64.sqrt() + 2.0)).abs() < 1e-9);
     assert!(
         (slow_start_limit(Duration::from_secs(99), 50.0) - (250.0 + 2.0 * 250_f64.sqrt() + 2.0)).abs() < 1e-9
@@ -24,7 +24,7 @@
     for _ in 0..500 {
         assert!(matches!(fleet.request_arrived(0, now), BackendResponse::Served(_)));
     }
-    assert_eq!(fleet.counters().slow_start_peak_ratio, 0.0, "a warm one has no such limit");
+    assert_eq!(fleet.counters().slow_start_peak_ratio, 0.0, "no limit applies after slow start");
     fleet.start(0);
     let limit = slow_start_limit(Duration::ZERO, 50.0);
     for _ in 0..200 {
--- a/scale/tests/discovery.rs
+++ b/scale/tests/discovery.rs
@@ -1,4 +1,4 @@
-//! The stand-in of discovery speaks the published protocol, and its failures look as they should.
+//! Protocol of the simulated discovery service, and its failures as a client sees them.
 
 use scale_test::discovery::{CallCosts, Discovery, DiscoveryBehavior};
 use scale_test::endpoint_list::{EndpointList, EndpointStatus};
@@ -12,45 +12,50 @@
 
 const BACKEND_COUNT: u32 = 5;
 
-/// Far longer than anything here takes.
+/// Much longer than any response in these tests takes.
 const READ_TIMEOUT: Duration = Duration::from_secs(10);
 
 fn start(per_call: Duration, capacity: usize) -> Discovery {
     let head = "name = \"x\"\nkind = \"real\"\nover = \"backends\"\nlongest_s = 60\n";
-    let plan = parse(&format!("{head}[[points]]\nbackends = {BACKEND_COUNT}\n")).expect("sound");
+    let plan = parse(&format!("{head}[[points]]\nbackends = {BACKEND_COUNT}\n")).expect("invalid plan");
     let addresses: Vec<SocketAddr> = (0..BACKEND_COUNT).map(|number| backend_address(number, 80)).collect();
     let costs =
         CallCosts { per_call, per_entry: Duration::ZERO, queue_capacity: capacity, has_local_agents: false };
-    Discovery::start(EndpointList::new(&plan.points[0], &addresses), costs).expect("started")
+    Discovery::start(EndpointList::new(&plan.points[0], &addresses), costs).expect("cannot start discovery")
 }
 
-/// Waits for what is asked of it on a runtime of this thread.
+/// Runs a future to completion on this thread.
 fn block_on<T>(work: impl std::future::Future<Output = T>) -> T {
-    tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime").block_on(work)
+    tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .expect("cannot create a runtime")
+        .block_on(work)
 }
 
 fn send_request(address: SocketAddr, path: &str) -> BufReader<TcpStream> {
-    let mut stream = TcpStream::connect(address).expect("a connection");
-    stream.set_read_timeout(Some(READ_TIMEOUT)).expect("a limit");
-    write!(stream, "GET {path} HTTP/1.1\r\nHost: x\r\n\r\n").expect("sent");
+    let mut stream = TcpStream::connect(address).expect("cannot connect");
+    stream.set_read_timeout(Some(READ_TIMEOUT)).expect("cannot set the read timeout");
+    write!(stream, "GET {path} HTTP/1.1\r\nHost: x\r\n\r\n").expect("cannot send the request");
     BufReader::new(stream)
 }
 
-/// The status and the body; none where the connection ends first.
+/// Reads the status and body of a response; `None` if the connection closes or times out first.
 fn read_response(connection: &mut BufReader<TcpStream>) -> Option<(u16, Vec<u8>)> {
     let (mut status, mut length) = (0, 0);
     loop {
         let mut line = String::new();
-        connection.read_line(&mut line).ok().filter(|number| *number > 0)?;
+        connection.read_line(&mut line).ok().filter(|bytes_read| *bytes_read > 0)?;
         let line = line.trim_end().to_lowercase();
         if line.is_empty() {
             break;
         }
         if line.starts_with("http/1.1 ") {
-            status = line[9..12].parse().expect("a status");
+            status = line[9..12].parse().expect("invalid status");
         }
-        length =
-            line.strip_prefix("content-length: ").map_or(length, |value| value.parse().expect("a length"));
+        length = line
+            .strip_prefix("content-length: ")
+            .map_or(length, |value| value.parse().expect("invalid content length"));
     }
     let mut body = vec![0; length];
     connection.read_exact(&mut body).ok()?;
@@ -58,31 +63,34 @@
 }
 
 fn fetch_list(address: SocketAddr, path: &str) -> Value {
-    let (status, body) = read_response(&mut send_request(address, path)).expect("an answer");
+    let (status, body) = read_response(&mut send_request(address, path)).expect("no response");
     assert_eq!(status, 200);
-    serde_json::from_slice(&body).expect("JSON")
+    serde_json::from_slice(&body).expect("invalid JSON")
 }
 
 #[test]
 fn list_returns_all_endpoints_and_watch_returns_changes() {
     let discovery = start(Duration::from_micros(100), 100);
-    let whole = fetch_list(discovery.address(), "/api/targets");
-    assert_eq!((whole["snapshot"].as_bool(), whole["index"].as_u64()), (Some(true), Some(1)));
-    let endpoints = whole["endpoints"].as_array().expect("lines");
+    let snapshot = fetch_list(discovery.address(), "/api/targets");
+    assert_eq!((snapshot["snapshot"].as_bool(), snapshot["index"].as_u64()), (Some(true), Some(1)));
+    let endpoints = snapshot["endpoints"].as_array().expect("no endpoints");
     assert_eq!(endpoints.len(), BACKEND_COUNT as usize);
-    let read = read_endpoint_list(&whole);
+    let decoded = read_endpoint_list(&snapshot);
     assert_eq!(
-        read.map(|backends| backends.len()),
+        decoded.map(|backends| backends.len()),
         Ok(BACKEND_COUNT as usize),
-        "the proxy's own reader takes it"
+        "the proxy's decoder accepts the list"
     );
     let started_at = Instant::now();
     let mut watch = send_request(discovery.address(), "/api/targets?after=1&wait_ms=9000");
     std::thread::sleep(Duration::from_millis(100));
     discovery.update_list(|list| list.set_status(3, EndpointStatus::Draining, 0));
-    let (status, body) = read_response(&mut watch).expect("an answer");
-    let delta: Value = serde_json::from_slice(&body).expect("JSON");
-    assert!(started_at.elapsed() < Duration::from_secs(5), "at the change, not at the end of the wait");
+    let (status, body) = read_response(&mut watch).expect("no response");
+    let delta: Value = serde_json::from_slice(&body).expect("invalid JSON");
+    assert!(
+        started_at.elapsed() < Duration::from_secs(5),
+        "the watch returns at the change, not at the end of the wait"
+    );
     assert_eq!((status, delta["snapshot"].as_bool(), delta["index"].as_u64()), (200, Some(false), Some(2)));
     assert_eq!(delta["endpoints"].as_array().map(Vec::len), Some(1));
     assert_eq!(delta["endpoints"][0]["status"], "draining");
@@ -92,9 +100,9 @@
 #[test]
 fn unchanged_watch_returns_no_endpoints_and_outdated_watch_a_snapshot() {
     let discovery = start(Duration::from_micros(100), 100);
-    let nothing = fetch_list(discovery.address(), "/api/targets?after=1&wait_ms=50");
+    let unchanged = fetch_list(discovery.address(), "/api/targets?after=1&wait_ms=50");
     assert_eq!(
-        (nothing["endpoints"].as_array().map(Vec::len), nothing["index"].as_u64()),
+        (unchanged["endpoints"].as_array().map(Vec::len), unchanged["index"].as_u64()),
         (Some(0), Some(1))
     );
     discovery.update_list(|list| {
@@ -102,8 +110,8 @@
             list.toggle_weight(change % 5);
         }
     });
-    let old = fetch_list(discovery.address(), "/api/targets?after=1&wait_ms=50");
-    assert_eq!(old["snapshot"].as_bool(), Some(true), "too many changes ago for a delta");
+    let outdated = fetch_list(discovery.address(), "/api/targets?after=1&wait_ms=50");
+    assert_eq!(outdated["snapshot"].as_bool(), Some(true), "the version is too old for a delta");
 }
 
 #[test]
@@ -112,12 +120,12 @@
     let mut calls: Vec<_> = (0..6).map(|_| send_request(discovery.address(), "/api/targets")).collect();
     let started_at = Instant::now();
     let mut statuses: Vec<u16> =
-        calls.iter_mut().map(|call| read_response(call).expect("an answer").0).collect();
+        calls.iter_mut().map(|call| read_response(call).expect("no response").0).collect();
     statuses.sort_unstable();
     assert_eq!(statuses, [200, 200, 200, 503, 503, 503]);
     assert!(
         started_at.elapsed() >= Duration::from_millis(400),
-        "three turns of 200 ms, the first begun before"
+        "three calls of 200 ms, the first of which started earlier"
     );
     let counters = discovery.counters();
     assert_eq!((counters.calls, counters.lists, counters.rejected, counters.longest_queue), (6, 3, 3, 3));
@@ -131,17 +139,24 @@
     let mut watch = send_request(address, "/api/targets?after=1&wait_ms=9000");
     std::thread::sleep(Duration::from_millis(100));
     block_on(discovery.set_behavior(DiscoveryBehavior::Reject));
-    assert_eq!(read_response(&mut watch).map(|response| response.0), Some(503), "a watch ends with it");
+    assert_eq!(
+        read_response(&mut watch).map(|response| response.0),
+        Some(503),
+        "the waiting watch is rejected"
+    );
     assert_eq!(
         read_response(&mut send_request(address, "/api/targets")).map(|response| response.0),
         Some(503)
     );
     block_on(discovery.set_behavior(DiscoveryBehavior::Unresponsive));
     let mut unanswered = send_request(address, "/api/targets");
-    unanswered.get_mut().set_read_timeout(Some(Duration::from_millis(300))).expect("a limit");
-    assert_eq!(read_response(&mut unanswered), None, "taken and never answered");
+    unanswered
+        .get_mut()
+        .set_read_timeout(Some(Duration::from_millis(300)))
+        .expect("cannot set the read timeout");
+    assert_eq!(read_response(&mut unanswered), None, "the call is accepted but not answered");
     block_on(discovery.set_behavior(DiscoveryBehavior::Down));
-    assert!(TcpStream::connect(address).is_err(), "nobody listens");
+    assert!(TcpStream::connect(address).is_err(), "connections are refused while discovery is down");
     block_on(discovery.set_behavior(DiscoveryBehavior::Serve));
     assert_eq!(fetch_list(address, "/api/targets")["index"].as_u64(), Some(1));
 }
@@ -149,12 +164,12 @@
 #[test]
 fn relocation_opens_a_new_port_and_closes_the_old_one() {
     let discovery = start(Duration::from_micros(100), 100);
-    let old = discovery.address();
-    let mut watch = send_request(old, "/api/targets?after=1&wait_ms=9000");
+    let old_address = discovery.address();
+    let mut watch = send_request(old_address, "/api/targets?after=1&wait_ms=9000");
     std::thread::sleep(Duration::from_millis(100));
-    let new = block_on(discovery.relocate()).expect("moved");
-    assert_ne!(old, new);
-    assert_eq!(fetch_list(new, "/api/targets")["index"].as_u64(), Some(1));
-    assert!(TcpStream::connect(old).is_err(), "no new connections");
-    assert_eq!(read_response(&mut watch), None, "an open one is closed");
+    let new_address = block_on(discovery.relocate()).expect("cannot relocate");
+    assert_ne!(old_address, new_address);
+    assert_eq!(fetch_list(new_address, "/api/targets")["index"].as_u64(), Some(1));
+    assert!(TcpStream::connect(old_address).is_err(), "the old port refuses connections");
+    assert_eq!(read_response(&mut watch), None, "the open connection is closed");
 }
--- a/scale/tests/plans.rs
+++ b/scale/tests/plans.rs
@@ -1,4 +1,4 @@
-//! Plans: an error in one is one line that names the key.
+//! Parsing, validation and resource checks of plans; each error is one line that names the key.
 
 use scale_test::machine_limits::{self, MachineResources};
 use scale_test::plan::Plan;
@@ -6,10 +6,10 @@
 
 const HEAD: &str = "name = \"x\"\nkind = \"real\"\nover = \"backends\"\nlongest_s = 600\n";
 
-/// The one line that a plan gets.
+/// Returns the error line for an invalid plan.
 fn parse_error(text: &str) -> String {
-    let line = parse(text).expect_err("a bad plan").to_string();
-    assert!(!line.contains('\n'), "one line: {line}");
+    let line = parse(text).expect_err("the plan is accepted").to_string();
+    assert!(!line.contains('\n'), "more than one line: {line}");
     line
 }
 
@@ -18,10 +18,9 @@
 }
 
 fn parse_valid(text: &str) -> Plan {
-    parse(text).expect("a sound plan")
+    parse(text).expect("the plan is rejected")
 }
 
-/// A machine of a small size.
 const SMALL_MACHINE: MachineResources =
     MachineResources { memory_bytes: 2_000_000_000, file_descriptors: 4_096 };
 
@@ -54,7 +53,7 @@
     ];
     for (text, expected) in cases {
         let line = parse_error(&text);
-        assert!(line.starts_with(expected), "{line:?} does not begin with {expected:?}");
+        assert!(line.starts_with(expected), "{line:?} does not start with {expected:?}");
     }
 }
 
@@ -71,7 +70,9 @@
 #[test]
 fn plan_exceeding_machine_limits_is_rejected_before_it_starts() {
     let machine_error = |text: &str| {
-        machine_limits::check(&parse_valid(text), SMALL_MACHINE).expect_err("over the bounds").to_string()
+        machine_limits::check(&parse_valid(text), SMALL_MACHINE)
+            .expect_err("the plan is accepted")
+            .to_string()
     };
     assert!(machine_limits::check(&parse_valid(&with_point("")), SMALL_MACHINE).is_ok());
     let line = machine_error(&with_point("proxies = 200\nconnections = 1"));
@@ -88,13 +89,13 @@
 fn every_plan_in_the_package_is_valid() {
     let directory = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("plans");
     let mut count = 0;
-    for file in std::fs::read_dir(directory).expect("plans") {
-        let path = file.expect("a file").path();
+    for file in std::fs::read_dir(directory).expect("cannot list the plans") {
+        let path = file.expect("cannot read a directory entry").path();
         let plan = plan_file::load(&path).unwrap_or_else(|error| panic!("{}: {error}", path.display()));
         let max_duration_s = |point| machine_limits::max_duration_s(plan.kind, point);
         let seconds: f64 = plan.points.iter().map(max_duration_s).sum();
-        assert!(seconds <= plan.longest_s, "{}: {seconds}", path.display());
+        assert!(seconds <= plan.longest_s, "{}: the points may take {seconds} s", path.display());
         count += 1;
     }
-    assert!(count >= 9, "{count} plans");
+    assert!(count >= 9, "only {count} plans found");
 }
--- a/scale/tests/simulated_proxies.rs
+++ b/scale/tests/simulated_proxies.rs
@@ -1,4 +1,4 @@
-//! Simulated proxies, few of them: what a plan of their kind rests on.
+//! Points with a few simulated proxies.
 
 use scale_test::plan_file::parse;
 use scale_test::point_result::PointResult;
@@ -7,10 +7,11 @@
 fn run_point(point: &str) -> PointResult {
     let head = "name = \"x\"\nkind = \"hollow\"\nover = \"proxies\"\nlongest_s = 60\n";
     let base = "[[points]]\nbackends = 40\nproxies = 12\nrate_per_s = 300\nrest_s = 0.2\nchange_s = 0.5\n";
-    let plan = parse(&format!("{head}{base}{point}\n")).expect("sound");
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let plan = parse(&format!("{head}{base}{point}\n")).expect("invalid plan");
+    let runtime =
+        tokio::runtime::Builder::new_current_thread().enable_all().build().expect("cannot create a runtime");
     let result = tokio::task::LocalSet::new().block_on(&runtime, simulated_point::run(&plan.points[0]));
-    result.expect("a result")
+    result.expect("the point failed")
 }
 
 fn assert_checks_hold(result: &PointResult) {
@@ -24,7 +25,7 @@
     let result = run_point("load_s = 2");
     assert_checks_hold(&result);
     assert!(result.figure("served").is_some_and(|value| value > 100.0), "{result:?}");
-    // A list each, and the watches of those that have begun theirs when the last is ready.
+    // One list call per proxy, plus the watch calls that start before the last proxy is ready.
     assert!(result.figure("start_calls").is_some_and(|value| (12.0..=24.0).contains(&value)), "{result:?}");
     assert!(result.figure("change_bytes_per_s").is_some_and(|value| value > 0.0), "{result:?}");
 }
