--- a/scale/src/backends/fleet.rs
+++ b/scale/src/backends/fleet.rs
@@ -3,7 +3,7 @@
 use crate::locking::lock;
 use crate::plan::Point;
 use crate::random::Random;
-use crate::site_settings::{
+use crate::settings::{
     OVERLOAD_MULTIPLE, OVERLOAD_WINDOW_US, SLOW_START_INITIAL_FRACTION, SLOW_START_US, STOP_SENDING_US,
 };
 use std::collections::VecDeque;
--- a/scale/src/balancer_point/mod.rs
+++ b/scale/src/balancer_point/mod.rs
@@ -8,7 +8,7 @@
 use crate::plan::Point;
 use crate::platform::{read_config, read_endpoint_list};
 use crate::point_result::{Figure, PointResult};
-use crate::site_settings::proxy_settings;
+use crate::settings::proxy_settings;
 use host::Host;
 use load_balancer::wire::WireError;
 use load_balancer::{Backend, BackendState, ConfigError, EndpointListUpdate, Event};
--- a/scale/src/clients/connection_pool.rs
+++ b/scale/src/clients/connection_pool.rs
@@ -62,7 +62,7 @@
     async fn send(
         &self, mut connection: Connection, planned: &PlannedRequest,
     ) -> Result<RequestOutcome, hyper::Error> {
-        let Some(request) = http_request(planned, self.deadline) else { return Ok(RequestOutcome::Unsent) };
+        let Some(request) = build_request(planned, self.deadline) else { return Ok(RequestOutcome::Unsent) };
         let response = connection.send_request(request).await?;
         let status = response.status();
         let Ok(body) = Limited::new(response.into_body(), MAX_RESPONSE_BYTES).collect().await else {
@@ -137,7 +137,7 @@
     })
 }
 
-fn http_request(planned: &PlannedRequest, deadline: Duration) -> Option<Request<Full<Bytes>>> {
+fn build_request(planned: &PlannedRequest, deadline: Duration) -> Option<Request<Full<Bytes>>> {
     let class = class_name(planned.class);
     let (method, body) = if is_idempotent(planned.class) { ("GET", "") } else { ("POST", "body") };
     let time_left_ms = deadline.saturating_sub(planned.planned_at.elapsed()).as_millis();
--- a/scale/src/lib.rs
+++ b/scale/src/lib.rs
@@ -10,7 +10,7 @@
 //! | | `process_stats`, `timer_queue`, `naming` |
 //! | plans | `plan`, `plan_validation`, `plan_file`, `machine_limits` |
 //! | results | `point_result`, `linear_fit`, `report` |
-//! | platform interface | `platform`, `site_settings`, `endpoint_list` |
+//! | platform interface | `platform`, `settings`, `endpoint_list` |
 //! | components of a fleet | `backends`, `discovery`, `clients`, `proxy_process`, `simulated_proxy` |
 //! | events and phases | `events`, `phase` |
 //! | points and plans | `real_point`, `simulated_point`, `balancer_point`, `runner` |
@@ -40,7 +40,7 @@
 pub mod real_point;
 pub mod report;
 pub mod runner;
+pub mod settings;
 pub mod simulated_point;
 pub mod simulated_proxy;
-pub mod site_settings;
 pub mod timer_queue;
--- a/scale/src/phase.rs
+++ b/scale/src/phase.rs
@@ -6,7 +6,7 @@
 
 /// Minimum duration of a phase for which rates are reported, in seconds; shorter ones are too noisy.
 const MIN_RATE_DURATION_S: f64 = 0.1;
-/// Delay between the end of the start phase and the phase at rest.
+/// Delay between the end of the start phase and the phase at rest, in which the proxies settle.
 pub const SETTLE_TIME: Duration = Duration::from_secs(1);
 
 /// Measurements of a phase.
@@ -58,7 +58,7 @@
     }
 
     /// Returns the CPU time per unit, in microseconds, without the CPU time that `rest` would take in the
-    /// same duration. Returns `None` for 0 units.
+    /// same duration. Returns `None` for 0 units or if the CPU time could not be read.
     pub fn cpu_us_per_unit(&self, rest: &MeasuredPhase, units: f64) -> Option<f64> {
         let above_rest = self.cpu_time_s? - rest.cpu_utilization().unwrap_or(0.0) * self.seconds;
         (units > 0.0).then_some(above_rest / units * 1e6)
--- a/scale/src/plan_file.rs
+++ b/scale/src/plan_file.rs
@@ -11,7 +11,7 @@
 /// Top-level keys other than `base` and `points`.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Head {
+struct PlanHeader {
     name: String,
     kind: PlanKind,
     over: String,
@@ -34,12 +34,12 @@
     let mut table: Table = text.parse().map_err(|error| syntax_error(&error, text))?;
     let base = take_base(&mut table)?;
     let point_tables = take_points(&mut table)?;
-    let head: Head = read(Value::Table(table), str::to_string)?;
+    let header: PlanHeader = deserialize_value(Value::Table(table), str::to_string)?;
     let mut points = Vec::new();
-    for (number, own) in point_tables.into_iter().enumerate() {
-        points.push(read_point(number, own, &base)?);
+    for (number, overrides) in point_tables.into_iter().enumerate() {
+        points.push(read_point(number, overrides, &base)?);
     }
-    let Head { name, kind, over, longest_s, program } = head;
+    let PlanHeader { name, kind, over, longest_s, program } = header;
     let plan = Plan { name, kind, over, longest_s, program, points };
     plan_validation::validate(&plan)?;
     Ok(plan)
@@ -86,12 +86,12 @@
     }
 }
 
-fn read_point(number: usize, own: Table, base: &Table) -> Result<Point, PlanError> {
+fn read_point(number: usize, overrides: Table, base: &Table) -> Result<Point, PlanError> {
     let mut merged = base.clone();
-    merged.extend(own.clone());
-    read(Value::Table(merged), |key| {
+    merged.extend(overrides.clone());
+    deserialize_value(Value::Table(merged), |key| {
         let first = key.split(['.', '[']).next().unwrap_or(key);
-        if base.contains_key(first) && !own.contains_key(first) {
+        if base.contains_key(first) && !overrides.contains_key(first) {
             format!("base.{key}")
         } else {
             format!("points[{number}].{key}")
@@ -100,7 +100,9 @@
 }
 
 /// Deserializes a value. `full_path` converts a path inside the value to one from the top level of the file.
-fn read<T: DeserializeOwned>(value: Value, full_path: impl Fn(&str) -> String) -> Result<T, PlanError> {
+fn deserialize_value<T: DeserializeOwned>(
+    value: Value, full_path: impl Fn(&str) -> String,
+) -> Result<T, PlanError> {
     serde_path_to_error::deserialize(value).map_err(|error| {
         let path = error.path().to_string();
         let text = one_line(error.inner().message());
--- a/scale/src/plan_validation.rs
+++ b/scale/src/plan_validation.rs
@@ -59,27 +59,31 @@
         let kinds: RangeInclusive<u32> = 1..=point.backends.max(1);
         let is_valid_fleet = point.fleet == 0 || point.fleet >= point.proxies;
         self.require((1..=20_000).contains(&point.backends), "backends", "a whole number from 1 to 20000")?;
-        self.require(kinds.contains(&point.kinds), "kinds", "a whole number from 1 to backends")?;
+        self.require(
+            kinds.contains(&point.kinds),
+            "kinds",
+            "a whole number from 1 to the value of backends",
+        )?;
         self.require((1..=64).contains(&point.zones), "zones", "a whole number from 1 to 64")?;
         self.require((1..=20_000).contains(&point.classes), "classes", "a whole number from 1 to 20000")?;
         self.require(point.tenants <= 100_000, "tenants", "a whole number up to 100000")?;
         self.require((1..=2_000).contains(&point.proxies), "proxies", "a whole number from 1 to 2000")?;
-        self.require(is_valid_fleet, "fleet", "0 or at least proxies")
+        self.require(is_valid_fleet, "fleet", "0 or at least the value of proxies")
     }
 
     fn validate_traffic(&self) -> Result<(), PlanError> {
         let point = self.point;
-        let is_positive = |value: f64, limit: f64| value > 0.0 && value <= limit;
+        let is_positive_up_to = |value: f64, limit: f64| value > 0.0 && value <= limit;
         let capacity = point.capacity_per_s;
-        self.require(is_positive(point.rate_per_s, 1e5), "rate_per_s", "above 0 and at most 100000")?;
+        self.require(is_positive_up_to(point.rate_per_s, 1e5), "rate_per_s", "above 0 and at most 100000")?;
         self.require(
             (1..=4_096).contains(&point.connections),
             "connections",
             "a whole number from 1 to 4096",
         )?;
         self.require((1..=60_000).contains(&point.deadline_ms), "deadline_ms", "from 1 to 60000")?;
-        self.require(is_positive(point.service_ms, 6e4), "service_ms", "above 0 and at most 60000")?;
-        self.require(is_positive(capacity, 1e6), "capacity_per_s", "above 0 and at most 1000000")?;
+        self.require(is_positive_up_to(point.service_ms, 6e4), "service_ms", "above 0 and at most 60000")?;
+        self.require(is_positive_up_to(capacity, 1e6), "capacity_per_s", "above 0 and at most 1000000")?;
         self.require((64..=20_000).contains(&point.sockets), "sockets", "from 64 to 20000")?;
         self.require((1..=100).contains(&point.seeds), "seeds", "a whole number from 1 to 100")
     }
--- a/scale/src/real_point/processes.rs
+++ b/scale/src/real_point/processes.rs
@@ -3,7 +3,7 @@
 use crate::plan::Point;
 use crate::proxy_process::{ProcessError, ProxyProcess};
 use crate::random::proxy_seed;
-use crate::site_settings::proxy_settings;
+use crate::settings::proxy_settings;
 use serde_json::{json, Value};
 use std::cell::RefCell;
 use std::net::SocketAddr;
--- a/scale/src/real_point/program.rs
+++ b/scale/src/real_point/program.rs
@@ -19,8 +19,8 @@
 
 /// Returns the path of the real proxy: the configured one, or the one in the directory of this program.
 pub fn find_program(configured: Option<&Path>) -> Result<PathBuf, ProgramError> {
-    let own = std::env::current_exe().map_err(ProgramError::OwnPath)?;
-    let path = configured.map_or_else(|| own.with_file_name(PROGRAM_NAME), Path::to_path_buf);
+    let own_path = std::env::current_exe().map_err(ProgramError::OwnPath)?;
+    let path = configured.map_or_else(|| own_path.with_file_name(PROGRAM_NAME), Path::to_path_buf);
     if path.is_file() {
         Ok(path)
     } else {
--- a/scale/src/simulated_proxy/endpoint_watch.rs
+++ b/scale/src/simulated_proxy/endpoint_watch.rs
@@ -2,7 +2,7 @@
 
 use super::clock::Clock;
 use crate::platform::{spawn_watch, WatchOptions};
-use crate::site_settings::STOP_SENDING_US;
+use crate::settings::STOP_SENDING_US;
 use load_balancer::{Backend, Config, EndpointListUpdate};
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/scale/src/simulated_proxy/proxy/mod.rs
+++ b/scale/src/simulated_proxy/proxy/mod.rs
@@ -11,7 +11,7 @@
 use super::error::SimulationError;
 use crate::platform::read_config;
 use crate::random::{proxy_seed, Random};
-use crate::site_settings::proxy_settings;
+use crate::settings::proxy_settings;
 use crate::timer_queue::TimerQueue;
 use attempts::AttemptEnd;
 use deadlines::Deadline;
