--- a/scale/src/backends/mod.rs
+++ b/scale/src/backends/mod.rs
@@ -1,8 +1,8 @@
-//! Simulated backends: they do no work, take their time for it and count what reaches them.
+//! Simulated backends: they wait for the service time instead of doing work, and count requests.
 
 mod fleet;
 mod results;
 mod server;
 
-pub use fleet::{warming_limit, BackendBehavior, BackendCounters, BackendFleet, Reception};
+pub use fleet::{slow_start_limit, BackendBehavior, BackendCounters, BackendFleet, BackendResponse};
 pub use server::{listen, serve, BackendListeners, ListenError};
--- a/scale/src/backends/results.rs
+++ b/scale/src/backends/results.rs
@@ -1,24 +1,27 @@
-//! What the backends' counters contribute to the result of a point, whatever its proxies are.
+//! Figures and checks from the backends' counters, shared by points with real and with simulated proxies.
 
 use super::BackendCounters;
 use crate::point_result::{Check, Figure};
 
 impl BackendCounters {
-    /// Requests to draining backends, and the sum of all proxies at warming ones.
+    /// Returns the figures on draining backends and on backends in slow start.
     pub fn figures(&self) -> [Figure; 3] {
         [
             Figure::count("sent_to_draining", self.rejected),
-            Figure::count("sent_to_draining_late", self.late),
-            Figure::new("cold_sum_of_limit", Some(self.warming_peak_of_limit)),
+            Figure::count("sent_to_draining_late", self.late_requests),
+            Figure::new("cold_sum_of_limit", Some(self.slow_start_peak_ratio)),
         ]
     }
 
-    /// No request reaches a draining backend later than allowed.
+    /// Checks that no request reached a draining backend after the time limit plus the drain slack.
     pub fn drain_check(&self) -> Check {
         Check {
-            name: "nothing reaches a draining backend past the limit and the slack",
-            holds: self.late == 0,
-            seen: format!("{} late of {} while draining", self.late, self.rejected),
+            name: "no request reaches a draining backend after the time limit plus the slack",
+            passed: self.late_requests == 0,
+            observed: format!(
+                "{} late of {} requests to draining backends",
+                self.late_requests, self.rejected
+            ),
         }
     }
 }
--- a/scale/src/plan_file.rs
+++ b/scale/src/plan_file.rs
@@ -1,4 +1,5 @@
-//! Reads a plan's file strictly: an error is one line that begins with the path of its key.
+//! Reads plan files. Unknown keys are errors, and every error is one line that begins with the path of the
+//! key.
 
 use crate::plan::{Plan, PlanError, PlanKind, Point};
 use crate::plan_validation;
@@ -7,10 +8,10 @@
 use std::path::{Path, PathBuf};
 use toml::{Table, Value};
 
-/// The keys beside the points.
+/// Top-level keys other than `base` and `points`.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Head {
+struct PlanHeader {
     name: String,
     kind: PlanKind,
     over: String,
@@ -19,31 +20,32 @@
     program: Option<PathBuf>,
 }
 
-/// Reads a plan's file and checks every value in it.
+/// Reads and validates a plan file.
 pub fn load(path: &Path) -> Result<Plan, PlanError> {
     let text = std::fs::read_to_string(path).map_err(|error| {
-        PlanError::new(path.display().to_string(), format!("expected a readable plan: {error}"))
+        PlanError::new(path.display().to_string(), format!("expected a readable plan file: {error}"))
     })?;
     parse(&text)
 }
 
-/// Reads a plan: `[base]` holds for each of `[[points]]` unless that has the key itself.
+/// Parses and validates a plan. The values in `[base]` apply to each of `[[points]]` that does not set the
+/// key.
 pub fn parse(text: &str) -> Result<Plan, PlanError> {
     let mut table: Table = text.parse().map_err(|error| syntax_error(&error, text))?;
     let base = take_base(&mut table)?;
     let point_tables = take_points(&mut table)?;
-    let head: Head = read(Value::Table(table), str::to_string)?;
+    let header: PlanHeader = deserialize_value(Value::Table(table), str::to_string)?;
     let mut points = Vec::new();
-    for (number, own) in point_tables.into_iter().enumerate() {
-        points.push(read_point(number, own, &base)?);
+    for (number, overrides) in point_tables.into_iter().enumerate() {
+        points.push(read_point(number, overrides, &base)?);
     }
-    let Head { name, kind, over, longest_s, program } = head;
+    let PlanHeader { name, kind, over, longest_s, program } = header;
     let plan = Plan { name, kind, over, longest_s, program, points };
     plan_validation::validate(&plan)?;
     Ok(plan)
 }
 
-/// Text that is no TOML, by its line.
+/// Returns the error for invalid TOML, with its line number.
 fn syntax_error(error: &toml::de::Error, text: &str) -> PlanError {
     let start = error.span().map_or(0, |span| span.start).min(text.len());
     let newlines_before = text.as_bytes()[..start].iter().filter(|byte| **byte == b'\n').count();
@@ -65,7 +67,7 @@
 }
 
 fn take_points(table: &mut Table) -> Result<Vec<Table>, PlanError> {
-    let missing = || PlanError::new("points", "missing, expected one [[points]] at least");
+    let missing = || PlanError::new("points", "missing, expected at least one [[points]]");
     let Some(Value::Array(values)) = table.remove("points") else { return Err(missing()) };
     let mut tables = Vec::new();
     for (number, value) in values.into_iter().enumerate() {
@@ -84,12 +86,12 @@
     }
 }
 
-fn read_point(number: usize, own: Table, base: &Table) -> Result<Point, PlanError> {
+fn read_point(number: usize, overrides: Table, base: &Table) -> Result<Point, PlanError> {
     let mut merged = base.clone();
-    merged.extend(own.clone());
-    read(Value::Table(merged), |key| {
+    merged.extend(overrides.clone());
+    deserialize_value(Value::Table(merged), |key| {
         let first = key.split(['.', '[']).next().unwrap_or(key);
-        if base.contains_key(first) && !own.contains_key(first) {
+        if base.contains_key(first) && !overrides.contains_key(first) {
             format!("base.{key}")
         } else {
             format!("points[{number}].{key}")
@@ -97,8 +99,10 @@
     })
 }
 
-/// Reads a value; `full_path` makes the path from the top of the file out of one inside the value.
-fn read<T: DeserializeOwned>(value: Value, full_path: impl Fn(&str) -> String) -> Result<T, PlanError> {
+/// Deserializes a value. `full_path` converts a path inside the value to one from the top level of the file.
+fn deserialize_value<T: DeserializeOwned>(
+    value: Value, full_path: impl Fn(&str) -> String,
+) -> Result<T, PlanError> {
     serde_path_to_error::deserialize(value).map_err(|error| {
         let path = error.path().to_string();
         let text = one_line(error.inner().message());
@@ -107,13 +111,13 @@
             return PlanError::new(full_path(&inner_path), "missing, expected a value");
         }
         if text.starts_with("unknown field") {
-            return PlanError::new(full_path(&path), format!("expected no such key: {text}"));
+            return PlanError::new(full_path(&path), format!("expected a known key: {text}"));
         }
-        PlanError::new(full_path(&path), format!("expected another value: {text}"))
+        PlanError::new(full_path(&path), format!("expected a valid value: {text}"))
     })
 }
 
-/// The name of the field that a message of the deserializer calls missing.
+/// Returns the field name from the deserializer's message about a missing field.
 fn missing_field(text: &str) -> Option<&str> {
     let (_, rest) = text.split_once("missing field `")?;
     rest.split('`').next()
--- a/scale/src/real_point/mod.rs
+++ b/scale/src/real_point/mod.rs
@@ -1,4 +1,5 @@
-//! A point with processes of the real proxy: rest, changes of the list, load with its events, the shutdown.
+//! A point with processes of the real proxy. Its phases are start, rest, changes of the endpoint list, load
+//! with events, and shutdown.
 
 mod figures;
 mod measurements;
@@ -29,13 +30,13 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// How often the clients' progress is looked at.
+/// Interval at which the clients are polled for completion.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Why a point could not be run.
+/// Error while running a point with real proxies.
 #[derive(Debug, thiserror::Error)]
 pub enum RealPointError {
-    /// A backend cannot listen.
+    /// A backend could not listen.
     #[error(transparent)]
     Listen(#[from] ListenError),
     /// A thread could not be started.
@@ -50,20 +51,20 @@
     /// The clients could not be started.
     #[error(transparent)]
     Clients(#[from] ClientsError),
-    /// An event could not be run.
+    /// An event failed.
     #[error(transparent)]
     Event(#[from] EventError),
 }
 
-/// What the point runs on.
-struct Site {
-    /// Dropped first: the proxies end before their discovery does.
+/// Components of a running point.
+struct Deployment {
+    /// Declared first, and so dropped first: the proxies end before the discovery service does.
     proxies: Rc<ProxyProcesses>,
     discovery: Rc<Discovery>,
     backends: Arc<BackendFleet>,
 }
 
-/// Control of the proxies of a point.
+/// Controls the proxy processes on behalf of events.
 struct ProcessControl {
     point: Point,
     proxies: Rc<ProxyProcesses>,
@@ -79,32 +80,34 @@
     }
 }
 
-/// Runs a point with this program; its configuration files go to `directory`.
+/// Runs a point with the real proxy at `program`, whose configuration files are written to `directory`.
 pub async fn run(
     point: &Point, program: &Path, directory: &WorkDirectory,
 ) -> Result<PointResult, RealPointError> {
     let listeners = backends::listen(point.backends)?;
     let addresses = listeners.addresses.clone();
-    let backends = Arc::new(BackendFleet::new(addresses.len(), BackendBehavior::of(point), point.seed));
-    let (_stops_backends, shutdown) = tokio::sync::watch::channel(());
+    let backends =
+        Arc::new(BackendFleet::new(addresses.len(), BackendBehavior::for_point(point), point.seed));
+    let (_backend_shutdown, shutdown) = tokio::sync::watch::channel(());
     backends::serve(&backends, listeners, &shutdown)?;
-    let discovery = Rc::new(Discovery::start(EndpointList::new(point, &addresses), CallCosts::of(point))?);
-    let cached_list = point.known.then(|| snapshot(&discovery));
+    let discovery =
+        Rc::new(Discovery::start(EndpointList::new(point, &addresses), CallCosts::for_point(point))?);
+    let cached_list = point.known.then(|| endpoint_list_json(&discovery));
     let proxies =
         ProxyProcesses::start(point, program, directory.path(), discovery.address(), cached_list.as_ref())?;
-    let site = Site { proxies: Rc::new(proxies), discovery, backends };
-    let measurements = site.run_phases(point).await?;
+    let deployment = Deployment { proxies: Rc::new(proxies), discovery, backends };
+    let measurements = deployment.run_phases(point).await?;
     Ok(figures::result(point, &measurements))
 }
 
-/// The endpoint list as JSON.
-fn snapshot(discovery: &Discovery) -> Value {
+/// Returns the current endpoint list as JSON.
+fn endpoint_list_json(discovery: &Discovery) -> Value {
     serde_json::from_slice(&discovery.snapshot().body).unwrap_or_default()
 }
 
-impl Site {
+impl Deployment {
     async fn run_phases(&self, point: &Point) -> Result<Measurements, RealPointError> {
-        let ready_after =
+        let time_to_ready =
             readiness::wait_until_ready(&self.proxies, Duration::from_secs_f64(point.ready_s)).await;
         sleep(SETTLE_TIME).await;
         let memory = self.proxies.mean_memory_bytes();
@@ -115,7 +118,7 @@
         let memory_after_load = self.proxies.mean_memory_bytes();
         let exit_codes = self.proxies.shut_down(Duration::from_millis(point.deadline_ms)).await;
         Ok(Measurements {
-            ready_after,
+            time_to_ready,
             memory,
             memory_after_load,
             rest: rest.phase,
@@ -130,10 +133,10 @@
     }
 
     async fn measure<T>(&self, work: impl Future<Output = T>) -> Measured<T> {
-        phase::measure(&self.discovery, || self.proxies.processor_s(), work).await
+        phase::measure(&self.discovery, || self.proxies.cpu_time_s(), work).await
     }
 
-    /// Requests for the time of the load, with its events; ends with the last answer.
+    /// Runs the load phase with its events, and returns once every request has an outcome.
     async fn run_load(&self, point: &Point) -> Result<ClientCounters, RealPointError> {
         let clients = Clients::start(point, &self.proxies.addresses())?;
         let control = ProcessControl { point: point.clone(), proxies: self.proxies.clone() };
@@ -143,7 +146,7 @@
             proxies: Box::new(control),
         };
         events::run(point, Rc::new(targets)).await?;
-        while !clients.are_done() {
+        while !clients.is_finished() {
             sleep(POLL_INTERVAL).await;
         }
         Ok(clients.counters())
--- a/scale/src/simulated_point/mod.rs
+++ b/scale/src/simulated_point/mod.rs
@@ -1,5 +1,5 @@
-//! A point with simulated proxies: start, rest, changes of the list, load with its events. What this process
-//! takes, it takes for the proxies and for the stand-in of discovery together.
+//! A point with simulated proxies. Its phases are start, rest, changes of the endpoint list, and load with
+//! events. CPU time is measured for this whole process, so it includes the simulated discovery service.
 
 mod figures;
 mod measurements;
@@ -23,12 +23,12 @@
 use std::time::{Duration, Instant};
 use tokio::time::sleep;
 
-/// How often the progress of the proxies is looked at.
+/// Interval at which the proxies are polled for progress.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// The port of all backends.
+/// Port of all backends; nothing listens on it.
 const BACKEND_PORT: u16 = 80;
 
-/// Why a point could not be run.
+/// Error while running a point with simulated proxies.
 #[derive(Debug, thiserror::Error)]
 pub enum SimulatedPointError {
     /// Discovery could not be started.
@@ -37,14 +37,14 @@
     /// The proxies could not be started.
     #[error(transparent)]
     Simulation(#[from] SimulationError),
-    /// An event could not be run.
+    /// An event failed.
     #[error(transparent)]
     Event(#[from] EventError),
 }
 
-/// What the point runs on.
-struct Site {
-    /// Dropped first: the proxies end before their discovery does.
+/// Components of a running point.
+struct Deployment {
+    /// Declared first, and so dropped first: the proxies end before the discovery service does.
     proxies: Rc<ProxyFleet>,
     discovery: Rc<Discovery>,
     backends: Arc<BackendFleet>,
@@ -62,31 +62,33 @@
     }
 }
 
-/// Runs a point.
+/// Runs a point with simulated proxies.
 pub async fn run(point: &Point) -> Result<PointResult, SimulatedPointError> {
     let addresses: Vec<SocketAddr> =
         (0..point.backends).map(|number| backend_address(number, BACKEND_PORT)).collect();
-    let backends = Arc::new(BackendFleet::new(addresses.len(), BackendBehavior::of(point), point.seed));
+    let backends =
+        Arc::new(BackendFleet::new(addresses.len(), BackendBehavior::for_point(point), point.seed));
     let backend_numbers =
         (0..addresses.len()).map(|number| (backend_id(&backend_name(number)), number)).collect();
-    let discovery = Rc::new(Discovery::start(EndpointList::new(point, &addresses), CallCosts::of(point))?);
-    // Written before the memory is read: the first response is not the proxies' memory.
+    let discovery =
+        Rc::new(Discovery::start(EndpointList::new(point, &addresses), CallCosts::for_point(point))?);
+    // Builds and caches the first response now, so that it does not count as memory of the proxies.
     discovery.snapshot();
-    let memory_before = ProcessStats::own().memory_bytes();
+    let memory_before = ProcessStats::for_current_process().memory_bytes();
     let proxies = ProxyFleet::start(point, &backends, backend_numbers, discovery.address())?;
-    let site = Site { proxies: Rc::new(proxies), discovery, backends };
-    let measurements = site.run_phases(point, memory_before).await?;
+    let deployment = Deployment { proxies: Rc::new(proxies), discovery, backends };
+    let measurements = deployment.run_phases(point, memory_before).await?;
     Ok(figures::result(point, &measurements))
 }
 
-impl Site {
+impl Deployment {
     async fn run_phases(
         &self, point: &Point, memory_before: Option<u64>,
     ) -> Result<Measurements, SimulatedPointError> {
         let start = self.measure(self.wait_until_ready(point)).await;
         let time_to_ready = self.proxies.counters().time_to_ready;
         sleep(SETTLE_TIME).await;
-        let memory_after = ProcessStats::own().memory_bytes();
+        let memory_after = ProcessStats::for_current_process().memory_bytes();
         let memory = memory_after.zip(memory_before).map(|(after, before)| after.saturating_sub(before));
         let rest = self.measure(sleep(Duration::from_secs_f64(point.rest_s))).await;
         let change = self.measure(events::change_entries(&self.discovery, point)).await;
@@ -108,22 +110,22 @@
 
     async fn measure<T>(&self, work: impl Future<Output = T>) -> Measured<T> {
         self.discovery.reset_peaks();
-        phase::measure(&self.discovery, || ProcessStats::own().processor_s(), work).await
+        phase::measure(&self.discovery, || ProcessStats::for_current_process().cpu_time_s(), work).await
     }
 
-    /// Waits until all proxies have their list, or the time for it is over; how many have.
+    /// Waits until all proxies are ready or `ready_s` has elapsed. Returns the number of ready proxies.
     async fn wait_until_ready(&self, point: &Point) -> u64 {
-        let limit = Instant::now() + Duration::from_secs_f64(point.ready_s);
+        let give_up_at = Instant::now() + Duration::from_secs_f64(point.ready_s);
         loop {
             let ready = self.proxies.counters().time_to_ready.count();
-            if ready >= u64::from(point.proxies) || Instant::now() >= limit {
+            if ready >= u64::from(point.proxies) || Instant::now() >= give_up_at {
                 return ready;
             }
             sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Requests for the time of the load, with its events; ends with the last proxy.
+    /// Runs the load phase with its events, and returns once all proxies have ended.
     async fn run_load(&self, point: &Point) -> Result<(), EventError> {
         let duration = Duration::from_secs_f64(point.load_s);
         let start = Instant::now();
--- a/scale/src/simulated_proxy/endpoint_watch.rs
+++ b/scale/src/simulated_proxy/endpoint_watch.rs
@@ -1,8 +1,8 @@
-//! The watch of one simulated proxy on the endpoint list.
+//! Watch of one simulated proxy on the endpoint list.
 
 use super::clock::Clock;
 use crate::platform::{spawn_watch, WatchOptions};
-use crate::site_settings::STOP_SENDING_US;
+use crate::settings::STOP_SENDING_US;
 use load_balancer::{Backend, Config, EndpointListUpdate};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -10,10 +10,10 @@
 use tokio::sync::{mpsc, watch, Notify};
 use tokio::task::JoinHandle;
 
-/// Changes that may wait for a proxy, which takes them at once.
-const CHANGE_QUEUE: usize = 1_024;
-/// A connection to discovery that is not up after this time does not come up.
-const DIAL_TIMEOUT: Duration = Duration::from_secs(1);
+/// Maximum number of list changes that wait for a proxy; further ones are dropped with an error in the log.
+const CHANGE_QUEUE_CAPACITY: usize = 1_024;
+/// Timeout of a connection attempt to discovery.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// A change of the endpoint list.
 pub(super) struct EndpointListChange {
@@ -21,7 +21,7 @@
     pub backends: Vec<Backend>,
 }
 
-/// A running watch; dropping it ends it.
+/// A running watch; dropping it stops the watch.
 pub(super) struct EndpointWatch {
     resubscribe: Rc<Notify>,
     changes: mpsc::Receiver<EndpointListChange>,
@@ -32,30 +32,32 @@
     /// Starts the watch of a proxy as a local task.
     pub fn spawn(config: &Config, discovery: watch::Receiver<SocketAddr>, clock: Clock) -> EndpointWatch {
         let resubscribe = Rc::new(Notify::new());
-        let (sender, changes) = mpsc::channel(CHANGE_QUEUE);
+        let (sender, changes) = mpsc::channel(CHANGE_QUEUE_CAPACITY);
         let task = spawn_watch(WatchOptions {
             address: discovery,
             mode: config.discovery,
-            connect_timeout: DIAL_TIMEOUT,
+            connect_timeout: CONNECT_TIMEOUT,
             drain_notice_limit: Duration::from_micros(STOP_SENDING_US),
             fleet_position: config.fleet_position(),
             resubscribe: resubscribe.clone(),
             now: Box::new(move || clock.now()),
             deliver: Box::new(move |update, backends| {
                 if sender.try_send(EndpointListChange { update, backends }).is_err() {
-                    tracing::error!("a proxy does not take its list changes");
+                    tracing::error!(
+                        "endpoint list change dropped: the queue of a simulated proxy is full or closed"
+                    );
                 }
             }),
         });
         EndpointWatch { resubscribe, changes, task }
     }
 
-    /// The next change; `None` once the watch has ended.
+    /// Waits for the next change; returns `None` once the watch has ended.
     pub async fn next_change(&mut self) -> Option<EndpointListChange> {
         self.changes.recv().await
     }
 
-    /// Asks for the next call.
+    /// Requests the next subscription call.
     pub fn resubscribe(&self) {
         self.resubscribe.notify_one();
     }
--- a/scale/src/simulated_proxy/proxy/attempts.rs
+++ b/scale/src/simulated_proxy/proxy/attempts.rs
@@ -1,28 +1,28 @@
-//! Attempts of a simulated proxy: their dispatch to the backends' model, and their ends.
+//! Attempts of a simulated proxy: dispatch to the in-memory backends, and completion.
 
 use super::Proxy;
-use crate::backends::Reception;
+use crate::backends::BackendResponse;
 use load_balancer::{AttemptNumber, AttemptResult, BackendId, Event, Micros, Outcome, RequestId, Time};
 use std::cmp::Reverse;
 use std::time::Instant;
 
-/// A rejected attempt ends after this time.
+/// Latency of an attempt that the backend rejects.
 const REJECTION_TIME: Micros = Micros(1_000);
 
-/// The end of an attempt in flight. The earliest comes first; of equal ones that of the earliest request.
+/// The scheduled end of an attempt in flight, ordered by time, then by request.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct AttemptEnd {
     pub due_at: Time,
     request: RequestId,
     attempt: AttemptNumber,
-    response: BackendResponse,
-    /// How long the backend took.
+    response: ResponseKind,
+    /// Time that the backend takes to respond; [`REJECTION_TIME`] for a rejection.
     service_time: Micros,
 }
 
-/// What a backend responds.
+/// Kind of a backend's response.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum BackendResponse {
+enum ResponseKind {
     Rejected,
     Served,
 }
@@ -39,16 +39,16 @@
         };
         open.in_flight.insert(attempt, now);
         self.context.counters.lock().attempts += 1;
-        let reception = self.context.backends.request_arrived(*backend_number, Instant::now());
-        let (response, service_time) = match reception {
-            Reception::Served(time) => (BackendResponse::Served, Micros(time.as_micros() as u64)),
-            Reception::Rejected => (BackendResponse::Rejected, REJECTION_TIME),
+        let response = self.context.backends.request_arrived(*backend_number, Instant::now());
+        let (response, service_time) = match response {
+            BackendResponse::Served(time) => (ResponseKind::Served, Micros(time.as_micros() as u64)),
+            BackendResponse::Rejected => (ResponseKind::Rejected, REJECTION_TIME),
         };
         let due_at = now + service_time;
         self.attempt_ends.push(Reverse(AttemptEnd { due_at, request, attempt, response, service_time }));
     }
 
-    /// Ends the attempts whose backends have responded.
+    /// Ends all attempts whose responses are due.
     pub(super) fn end_due_attempts(&mut self, now: Time) {
         while let Some(end) = self.take_due_end(now) {
             self.backend_responded(now, end);
@@ -67,8 +67,8 @@
         let Some(open) = self.requests.get_mut(&end.request) else { return };
         let Some(dispatched_at) = open.in_flight.remove(&end.attempt) else { return };
         let outcome = match end.response {
-            BackendResponse::Served => Outcome::Success,
-            BackendResponse::Rejected => Outcome::Rejected,
+            ResponseKind::Served => Outcome::Success,
+            ResponseKind::Rejected => Outcome::Rejected,
         };
         if outcome == Outcome::Success && !open.is_answered {
             open.is_answered = true;
@@ -86,7 +86,7 @@
         self.attempt_ended(request, attempt, Outcome::Cancelled, now - dispatched_at);
     }
 
-    /// The balancer learns of the end of an attempt with the next tick.
+    /// Queues the end of an attempt as an event for the next tick.
     pub(super) fn attempt_ended(
         &mut self, request: RequestId, attempt: AttemptNumber, outcome: Outcome, latency: Micros,
     ) {
--- a/scale/src/simulated_proxy/proxy/mod.rs
+++ b/scale/src/simulated_proxy/proxy/mod.rs
@@ -1,4 +1,4 @@
-//! One simulated proxy: a balancer, and the host that feeds it events and carries out its actions.
+//! One simulated proxy: a balancer, with the code that feeds it events and executes its actions.
 
 mod arrivals;
 mod attempts;
@@ -11,7 +11,7 @@
 use super::error::SimulationError;
 use crate::platform::read_config;
 use crate::random::{proxy_seed, Random};
-use crate::site_settings::proxy_settings;
+use crate::settings::proxy_settings;
 use crate::timer_queue::TimerQueue;
 use attempts::AttemptEnd;
 use deadlines::Deadline;
@@ -23,18 +23,18 @@
 use std::collections::{BTreeSet, BinaryHeap, HashMap, HashSet};
 use std::time::Instant;
 
-/// The longest sleep of a proxy that waits for nothing: an hour.
-const LONGEST_SLEEP: Micros = Micros(3_600_000_000);
+/// Maximum sleep of a proxy without due work: one hour.
+const MAX_SLEEP: Micros = Micros(3_600_000_000);
 
-/// A request that is not over.
+/// A request whose deadline and grace period have not ended yet.
 struct OpenRequest {
     arrived_at: Time,
     deadline: Time,
-    /// Attempts that the balancer asked for.
+    /// Number of attempts that the balancer requested.
     attempt_count: u32,
-    /// When each attempt in flight was dispatched.
+    /// Dispatch time of each attempt in flight.
     in_flight: HashMap<AttemptNumber, Time>,
-    /// It has its final answer.
+    /// Whether the request has its final answer.
     is_answered: bool,
 }
 
@@ -47,9 +47,9 @@
     random: Random,
     balancer: Balancer,
     started_at: Instant,
-    /// It has had a list with a ready backend.
+    /// Whether the proxy has received a list with a ready backend since its start.
     is_ready: bool,
-    /// Backends that its list calls ready.
+    /// Backends that are ready according to the endpoint list.
     ready_backends: HashSet<BackendId>,
     requests: HashMap<RequestId, OpenRequest>,
     request_count: u64,
@@ -57,15 +57,15 @@
     attempt_ends: BinaryHeap<Reverse<AttemptEnd>>,
     deadlines: BTreeSet<Deadline>,
     timers: TimerQueue,
-    /// Events for the next round of decisions.
+    /// Events for the balancer, passed to it in the next tick.
     events: Vec<Event>,
-    /// When the next round of decisions may be.
+    /// Earliest time of the next tick.
     next_tick: Time,
     endpoint_watch: EndpointWatch,
 }
 
 impl Proxy {
-    /// A proxy that has just started, without a list. Has to be called inside a local task set.
+    /// Creates a proxy without an endpoint list and starts its watch. Must be called inside a `LocalSet`.
     pub fn new(proxy_index: u32, context: ProxyContext) -> Result<Proxy, SimulationError> {
         let config = read_config(&proxy_settings(&context.point, proxy_index))?;
         let seed = proxy_seed(context.point.seed, proxy_index);
@@ -86,7 +86,7 @@
             attempt_ends: BinaryHeap::new(),
             deadlines: BTreeSet::new(),
             timers: TimerQueue::default(),
-            // An empty cached list: only after a list does the balancer ask for the next.
+            // An empty cached list: the balancer only requests a subscription after it received a list.
             events: vec![Event::EndpointListChanged {
                 update: EndpointListUpdate::Cached,
                 backends: Vec::new(),
@@ -97,30 +97,30 @@
         })
     }
 
-    /// Runs until the fleet shuts down and every request has its answer.
+    /// Runs until the fleet shuts down and every request has its final answer.
     pub async fn run(mut self) {
-        let mut phase = self.context.phase.clone();
+        let mut activity = self.context.activity.clone();
         let mut restarts = self.context.restarts.clone();
         loop {
             let wakeup = tokio::time::Instant::from_std(self.clock.instant_of(self.next_wakeup()));
             tokio::select! {
                 biased;
-                changed = phase.changed() => match changed {
-                    Ok(()) => self.phase_began(*phase.borrow_and_update()),
+                changed = activity.changed() => match changed {
+                    Ok(()) => self.activity_changed(*activity.borrow_and_update()),
                     Err(_) => return,
                 },
                 Ok(()) = restarts.changed() => {
                     let count = *restarts.borrow_and_update();
                     self = match self.restart(count) {
                         Ok(restarted) => restarted,
-                        Err(error) => return tracing::error!("a return: {error}"),
+                        Err(error) => return tracing::error!("cannot restart a simulated proxy: {error}"),
                     };
                 }
                 Some(change) = self.endpoint_watch.next_change() => self.endpoint_list_changed(change),
                 () = tokio::time::sleep_until(wakeup) => {}
             }
             self.run_due_work();
-            if *self.context.phase.borrow() == ProxyActivity::Shutdown && self.has_answered_all() {
+            if *self.context.activity.borrow() == ProxyActivity::Shutdown && self.has_answered_all() {
                 return;
             }
         }
@@ -130,17 +130,18 @@
         self.requests.values().all(|request| request.is_answered)
     }
 
-    fn phase_began(&mut self, phase: ProxyActivity) {
-        if let ProxyActivity::Load { .. } = phase {
+    fn activity_changed(&mut self, activity: ProxyActivity) {
+        if let ProxyActivity::Load { .. } = activity {
             self.next_arrival = Some(self.clock.now());
             self.schedule_next_arrival();
         }
     }
 
-    /// The proxy as a new process would start, with another seed for each restart; arrivals go on.
+    /// Replaces the proxy by a new one without a list, as a restart of the process would, with a different
+    /// seed for each restart. Arrivals continue.
     fn restart(self, restart_count: u32) -> Result<Proxy, SimulationError> {
-        let cut_off = self.requests.values().filter(|request| !request.is_answered).count();
-        self.context.counters.lock().cut_off += cut_off as u64;
+        let dropped_at_restart = self.requests.values().filter(|request| !request.is_answered).count();
+        self.context.counters.lock().dropped_at_restart += dropped_at_restart as u64;
         let mut context = self.context.clone();
         context.point.seed = context.point.seed.wrapping_add(u64::from(restart_count));
         let mut restarted = Proxy::new(self.proxy_index, context)?;
@@ -148,24 +149,24 @@
         Ok(restarted)
     }
 
-    /// When time alone next brings something about. Decisions wait for the next tick; the end of an attempt
-    /// and a deadline do not.
+    /// Returns the time of the next due work. Timers, arrivals and queued events wait for the next tick; ends
+    /// of attempts and deadlines do not.
     fn next_wakeup(&self) -> Time {
         let events = if self.events.is_empty() { Time::NEVER } else { self.next_tick };
         let arrival = self.next_arrival.unwrap_or(Time::NEVER);
         let decisions = self.timers.next_due().min(arrival).min(events).max(self.next_tick);
         let deadline = self.deadlines.first().map_or(Time::NEVER, |deadline| deadline.due_at);
         let attempt_end = self.attempt_ends.peek().map_or(Time::NEVER, |Reverse(end)| end.due_at);
-        decisions.min(deadline).min(attempt_end).min(self.clock.now() + LONGEST_SLEEP)
+        decisions.min(deadline).min(attempt_end).min(self.clock.now() + MAX_SLEEP)
     }
 
     fn run_due_work(&mut self) {
         let now = self.clock.now();
         self.end_due_attempts(now);
         self.expire_deadlines(now);
-        self.take_arrivals(now);
+        self.receive_due_requests(now);
         if now >= self.next_tick {
-            self.decide(now);
+            self.run_tick(now);
         }
     }
 
