--- a/src/balancer/attempt_outcome.rs
+++ b/src/balancer/attempt_outcome.rs
@@ -48,7 +48,7 @@
     pub(super) fn slow_threshold_of(&self, attempt: &InFlightAttempt) -> Micros {
         let backend = self.fleet.backends.get(&attempt.backend);
         let kind = backend.and_then(|backend| self.fleet.kind_of(backend));
-        let unloaded_secs = kind.and_then(|kind| kind.speed.unloaded_secs());
+        let unloaded_secs = kind.and_then(|kind| kind.service_rate.unloaded_secs());
         let work = self.classes.relative_work(attempt.class);
         slow_threshold(attempt.class_objective, unloaded_secs.map_or(0.0, |secs| secs * work))
     }
@@ -62,7 +62,7 @@
         let Some(backend) = self.fleet.backends.get_mut(&attempt.backend) else { return };
         if outcome == Outcome::Success {
             backend.concurrency.record_latency(latency);
-            let kind = backend.record.kind;
+            let kind = backend.endpoint.kind;
             self.record_served_latency(kind, attempt.class, latency);
         }
         let ejected =
@@ -80,7 +80,7 @@
         let secs = latency.secs().max(MIN_LATENCY_SECS);
         self.classes.record_latency(class, secs);
         let scaled_secs = self.classes.scaled_to_mean_work(class, secs);
-        self.fleet.kinds.entry(kind).or_default().speed.record_latency(scaled_secs);
+        self.fleet.kinds.entry(kind).or_default().service_rate.record_latency(scaled_secs);
     }
 
     /// Counts attempts in flight past their slow threshold as slow responses: an overloaded backend responds
--- a/src/balancer/classes.rs
+++ b/src/balancer/classes.rs
@@ -155,6 +155,6 @@
             let removed = mapping.assign(class, ClassId(self.classes.len()));
             self.classes.extend(removed);
         }
-        mapping.new_number(class)
+        mapping.new_id(class)
     }
 }
--- a/src/balancer/concurrency_limit.rs
+++ b/src/balancer/concurrency_limit.rs
@@ -51,9 +51,9 @@
     /// from 0 to 1, before rounding down keeps the sum over all proxies at the fleet limit, as long as each
     /// part is at least one attempt. Smaller parts are rounded up to one, and [`ProxyLimit`] bounds their
     /// sum.
-    pub fn set_own(&mut self, equal_part: f64, zone_factor: f64, rotation_slot: f64) {
+    pub fn set_own_limit(&mut self, equal_share: f64, zone_factor: f64, rotation_slot: f64) {
         let zone_scale = 1.0 - ZONE_PREFERENCE_FRACTION + ZONE_PREFERENCE_FRACTION * zone_factor;
-        self.own_limit = (equal_part * zone_scale + rotation_slot).floor().max(1.0);
+        self.own_limit = (equal_share * zone_scale + rotation_slot).floor().max(1.0);
     }
 
     /// Attempts that this proxy may have in flight at the backend.
--- a/src/balancer/dispatching.rs
+++ b/src/balancer/dispatching.rs
@@ -84,7 +84,7 @@
             self.retry_budget.withdraw();
         }
         let number = request.next_attempt_number();
-        let endpoint = backend.record.clone();
+        let endpoint = backend.endpoint.clone();
         request.attempts.push(SentAttempt {
             backend: endpoint,
             sent_at: now,
--- a/src/balancer/fleet.rs
+++ b/src/balancer/fleet.rs
@@ -5,8 +5,8 @@
 
 use super::concurrency_limit::ConcurrencyLimit;
 use super::outlier_detection::Health;
+use super::service_rate_estimation::KindServiceRate;
 use super::slow_start::RecentWork;
-use super::speed_estimation::KindServiceRate;
 use super::subset::{KindSubset, SubsetCoverage};
 use super::traffic_allocation::SelectionTable;
 use crate::backend::{Backend, BackendState, EndpointListUpdate};
@@ -23,7 +23,7 @@
 #[derive(Default)]
 pub(super) struct TrackedBackend {
     /// Its entry in the endpoint list.
-    pub record: Backend,
+    pub endpoint: Backend,
     /// Usable fraction of its capacity, from 0 (send nothing) to 1 (healthy, warm, not overloaded): the
     /// product of health factor, warm fraction and reported load factor. Set by `share_update`;
     /// `outlier_detection` sets it to 0 on an ejection.
@@ -56,7 +56,7 @@
 
     /// Whether the endpoint list has it as ready for new requests.
     pub fn is_listed_ready(&self) -> bool {
-        self.record.state == BackendState::Ready
+        self.endpoint.state == BackendState::Ready
     }
 
     /// Drops what was recorded of the process before a restart, except the attempts that this proxy sent to
@@ -73,7 +73,7 @@
 /// State of a kind of backend at this proxy.
 #[derive(Default)]
 pub(super) struct TrackedKind {
-    pub speed: KindServiceRate,
+    pub service_rate: KindServiceRate,
     /// Sum of the readiness of its backends. Set by `share_update`, like the next three fields.
     pub total_readiness: f64,
     /// Number of its backends that the endpoint list has as ready, whatever their health.
@@ -83,7 +83,7 @@
     /// Highest weight that the endpoint list ever gave one of its backends; taken for that of an idle one.
     pub idle_weight: f64,
     pub subset: KindSubset,
-    pub picks: SelectionTable,
+    pub selection_table: SelectionTable,
 }
 
 /// All backends and kinds known to this proxy.
@@ -96,7 +96,7 @@
 impl Fleet {
     /// The kind of a backend.
     pub fn kind_of(&self, backend: &TrackedBackend) -> Option<&TrackedKind> {
-        self.kinds.get(&backend.record.kind)
+        self.kinds.get(&backend.endpoint.kind)
     }
 
     /// Fraction of the traffic of all proxies that a backend receives before subsets, zone preference and
@@ -114,24 +114,24 @@
         if update.is_complete() {
             changed = self.remove_unlisted(&list);
         }
-        for record in list {
-            let backend = self.backends.entry(record.id).or_default();
-            if backend.record.started_at != record.started_at {
+        for endpoint in list {
+            let backend = self.backends.entry(endpoint.id).or_default();
+            if backend.endpoint.started_at != endpoint.started_at {
                 backend.reset_after_restart();
             }
             // Live weights change constantly; the next periodic share update applies them.
-            changed |= backend.record != Backend { weight: backend.record.weight, ..record.clone() };
-            backend.record = record;
+            changed |= backend.endpoint != Backend { weight: backend.endpoint.weight, ..endpoint.clone() };
+            backend.endpoint = endpoint;
         }
         changed
     }
 
     fn remove_unlisted(&mut self, list: &[Backend]) -> bool {
-        let listed: BTreeSet<BackendId> = list.iter().map(|record| record.id).collect();
+        let listed: BTreeSet<BackendId> = list.iter().map(|endpoint| endpoint.id).collect();
         let mut changed = false;
         for backend in self.backends.values_mut() {
-            if !listed.contains(&backend.record.id) {
-                backend.record.state = BackendState::Removed;
+            if !listed.contains(&backend.endpoint.id) {
+                backend.endpoint.state = BackendState::Removed;
                 changed = true;
             }
         }
@@ -142,10 +142,10 @@
     /// [`MAX_RETAINED_KINDS`].
     pub fn prune(&mut self) {
         self.backends
-            .retain(|_, backend| backend.record.state != BackendState::Removed || backend.in_flight > 0);
+            .retain(|_, backend| backend.endpoint.state != BackendState::Removed || backend.in_flight > 0);
         if self.kinds.len() > MAX_RETAINED_KINDS {
             let listed: BTreeSet<KindId> =
-                self.backends.values().map(|backend| backend.record.kind).collect();
+                self.backends.values().map(|backend| backend.endpoint.kind).collect();
             self.kinds.retain(|kind, _| listed.contains(kind));
         }
     }
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -7,13 +7,13 @@
 //! | concern | module |
 //! | --- | --- |
 //! | endpoint list and discovery calls | `fleet`, `subscription` |
-//! | traffic share of each kind | `halb`, `speed_estimation`, `share_update` |
+//! | traffic share of each kind | `halb`, `service_rate_estimation`, `share_update` |
 //! | traffic share of each backend | `traffic_allocation`, `zone_preference` |
 //! | backends that this proxy uses | `subset`, `rotation` |
 //! | outliers and warming backends | `outlier_detection`, `slow_start` |
 //! | admission, priorities, quotas | `admission`, `priority`, `quota`, `classes` |
 //! | lifecycle of a request | `request_arrival`, `dispatching`, `attempt_outcome` |
-//! | end of a request | `request_review`, `request_completion` |
+//! | end of a request | `request_checks`, `request_completion` |
 //! | queueing and backend selection | `request`, `request_queue`, `selection`, `concurrency_limit` |
 //! | retries, hedging, deadlines | `retry`, `deadlines` |
 //! | configuration changes | `reconfiguration` |
@@ -34,15 +34,15 @@
 mod reconfiguration;
 mod request;
 mod request_arrival;
+mod request_checks;
 mod request_completion;
 mod request_queue;
-mod request_review;
 mod retry;
 mod rotation;
 mod selection;
+mod service_rate_estimation;
 mod share_update;
 mod slow_start;
-mod speed_estimation;
 mod subscription;
 mod subset;
 mod traffic_allocation;
@@ -54,7 +54,7 @@
 use crate::action::{Action, LogEvent};
 use crate::backend::{Backend, EndpointListUpdate};
 use crate::config::{Class, Config, ConfigError};
-use crate::estimators::{Rate, RATE_MEMORY};
+use crate::estimators::{Rate, RATE_TIME_CONSTANT};
 use crate::event::Event;
 use crate::random::Random;
 use crate::units::{Micros, RequestId, Time};
@@ -73,7 +73,7 @@
 use wakeup::Wakeup;
 
 /// Delay after which a rejected client may retry. Before that, the rate estimate still reflects the overload.
-const RETRY_AFTER: Micros = RATE_MEMORY;
+const RETRY_AFTER: Micros = RATE_TIME_CONSTANT;
 
 /// The load-balancing decisions of one proxy, driven by [`Event`]s passed in order of time.
 pub struct Balancer {
@@ -174,7 +174,7 @@
     }
 
     fn endpoint_list_changed(&mut self, now: Time, update: EndpointListUpdate, list: Vec<Backend>) {
-        if self.subscription.list_arrived(&self.config, now, update, &mut self.random) {
+        if self.subscription.record_update(&self.config, now, update, &mut self.random) {
             self.schedule_subscription_call();
             self.log.push(now, LogEvent::SubscriptionLost, &mut self.actions);
         }
--- a/src/balancer/reconfiguration.rs
+++ b/src/balancer/reconfiguration.rs
@@ -35,7 +35,7 @@
     }
 
     /// The new index of a class that has been assigned one.
-    pub fn new_number(&self, old_id: ClassId) -> ClassId {
+    pub fn new_id(&self, old_id: ClassId) -> ClassId {
         self.new_ids[old_id.0]
     }
 }
--- a/src/balancer/request_arrival.rs
+++ b/src/balancer/request_arrival.rs
@@ -60,7 +60,7 @@
     /// Draws whether capacity is allocated for a request. Limits of warming backends can reduce the sum of
     /// the traffic shares below 1; that sum is the probability of having capacity.
     fn draw_allocated_capacity(&mut self) -> bool {
-        let allocated: f64 = self.fleet.kinds.values().map(|kind| kind.picks.total()).sum();
+        let allocated: f64 = self.fleet.kinds.values().map(|kind| kind.selection_table.total()).sum();
         allocated <= 0.0 || self.random.unit() <= allocated
     }
 }
--- a/src/balancer/selection.rs
+++ b/src/balancer/selection.rs
@@ -35,7 +35,7 @@
         if request.is_unsent() {
             let kinds = self.weighted_kinds();
             for _ in 0..MAX_DRAWS {
-                let kind = random.pick(&kinds)?;
+                let kind = random.choose_weighted(&kinds)?;
                 let drawn = self.draw_from(kind, random);
                 if let Some(backend) = drawn.filter(|backend| self.can_accept(*backend, request)) {
                     return Some(backend);
@@ -46,22 +46,24 @@
     }
 
     fn weighted_kinds(&self) -> Vec<Weighted<KindId>> {
-        let weighted =
-            |(id, kind): (&KindId, &TrackedKind)| Weighted { item: *id, weight: kind.picks.total() };
+        let weighted = |(id, kind): (&KindId, &TrackedKind)| Weighted {
+            item: *id,
+            weight: kind.selection_table.total(),
+        };
         self.fleet.kinds.iter().map(weighted).collect()
     }
 
     /// Draws a backend of the kind by traffic share; `None` if the kind has no usable backend.
     fn draw_from(&self, kind: KindId, random: &mut Random) -> Option<BackendId> {
         let point = random.unit();
-        self.fleet.kinds.get(&kind)?.picks.pick(point)
+        self.fleet.kinds.get(&kind)?.selection_table.select(point)
     }
 
     fn select_among_all(&self, request: &Request, random: &mut Random) -> Option<BackendId> {
         let candidates = self.fleet.backends.iter().filter(|(id, _)| self.can_accept(**id, request));
         let weighted: Vec<Weighted<BackendId>> =
             candidates.map(|(id, backend)| Weighted { item: *id, weight: backend.traffic_share }).collect();
-        random.pick(&weighted)
+        random.choose_weighted(&weighted)
     }
 
     /// Whether the backend is eligible for the request and has capacity for it.
@@ -77,7 +79,7 @@
     /// Whether the backend's state, the request's idempotency and slow start permit the attempt.
     fn is_eligible(&self, backend: &TrackedBackend, request: &Request) -> bool {
         backend.is_listed_ready()
-            && retry::may_execute_at(&backend.record, request)
+            && retry::may_execute_at(&backend.endpoint, request)
             && self.slow_start.admits(backend, self.classes.relative_work(request.class))
     }
 }
--- a/src/balancer/speed_estimation.rs
+++ b/src/balancer/service_rate_estimation.rs
@@ -118,19 +118,19 @@
         let arrival_rate = if total_readiness > 0.0 { kind_rate / total_readiness } else { 0.0 };
         let load =
             KindLoad { total_readiness, listed_ready_backends: kind.listed_ready_backends, arrival_rate };
-        kind.speed.update(&load, elapsed_secs, latency_prior_secs);
+        kind.service_rate.update(&load, elapsed_secs, latency_prior_secs);
     }
     let mean = mean_known_service_rate(fleet);
-    for kind in fleet.kinds.values_mut().filter(|kind| !kind.speed.is_known()) {
-        kind.speed.service_rate = mean;
+    for kind in fleet.kinds.values_mut().filter(|kind| !kind.service_rate.is_known()) {
+        kind.service_rate.service_rate = mean;
     }
 }
 
 /// Mean of the known service rates, or 1 if none is known.
 fn mean_known_service_rate(fleet: &Fleet) -> f64 {
     let (mut total, mut count) = (0.0, 0.0);
-    for kind in fleet.kinds.values().filter(|kind| kind.speed.is_known()) {
-        total += kind.speed.service_rate;
+    for kind in fleet.kinds.values().filter(|kind| kind.service_rate.is_known()) {
+        total += kind.service_rate.service_rate;
         count += 1.0;
     }
     if count > 0.0 {
--- a/src/balancer/share_update.rs
+++ b/src/balancer/share_update.rs
@@ -4,7 +4,7 @@
 use super::concurrency_limit::IN_FLIGHT_PER_BACKEND;
 use super::halb::{halb_shares, KindCapacity};
 use super::slow_start::{warm_fraction, LIKELY_DURATION_FRACTION};
-use super::{outlier_detection, speed_estimation, subset, traffic_allocation, Balancer};
+use super::{outlier_detection, service_rate_estimation, subset, traffic_allocation, Balancer};
 use crate::backend::Backend;
 use crate::config::Config;
 use crate::units::Time;
@@ -24,7 +24,7 @@
         self.admitted_rate.add(now, 0.0);
         let proxy_rate = self.admitted_rate.per_second();
         let fleet_rate = proxy_rate.map(|rate| rate * f64::from(self.config.proxy_count));
-        speed_estimation::update_service_rates(
+        service_rate_estimation::update_service_rates(
             &mut self.fleet,
             elapsed_secs,
             fleet_rate,
@@ -49,12 +49,12 @@
             kind.listed_ready_backends = 0.0;
         }
         for backend in self.fleet.backends.values_mut() {
-            let kind = self.fleet.kinds.entry(backend.record.kind).or_default();
+            let kind = self.fleet.kinds.entry(backend.endpoint.kind).or_default();
             kind.listed_ready_backends += f64::from(backend.is_listed_ready());
-            kind.idle_weight = kind.idle_weight.max(backend.record.weight);
+            kind.idle_weight = kind.idle_weight.max(backend.endpoint.weight);
             backend.readiness = backend.health.factor()
-                * warm_fraction(&self.config, now, &backend.record, LIKELY_DURATION_FRACTION)
-                * reported_load_factor(&self.config, &backend.record, kind.idle_weight);
+                * warm_fraction(&self.config, now, &backend.endpoint, LIKELY_DURATION_FRACTION)
+                * reported_load_factor(&self.config, &backend.endpoint, kind.idle_weight);
             kind.total_readiness += backend.readiness;
         }
     }
@@ -66,7 +66,7 @@
         let capacities: Vec<KindCapacity> = kinds
             .map(|kind| KindCapacity {
                 backends: kind.total_readiness,
-                service_rate: kind.speed.requests_per_second(),
+                service_rate: kind.service_rate.requests_per_second(),
             })
             .collect();
         let shares = halb_shares(&capacities, fleet_rate);
@@ -83,10 +83,10 @@
 /// `IN_FLIGHT_PER_BACKEND / 2` requests per core the factor is 1; above that it falls with the square of the
 /// weight, so that slow backends can drain their requests. A lightly loaded backend gets no more than its
 /// share: all proxies see the same delayed reports and would send to the least loaded backend at once.
-fn reported_load_factor(config: &Config, record: &Backend, idle_weight: f64) -> f64 {
+fn reported_load_factor(config: &Config, endpoint: &Backend, idle_weight: f64) -> f64 {
     if !config.live_weights {
         return 1.0;
     }
-    let relative_weight = record.weight / idle_weight.max(MIN_WEIGHT);
+    let relative_weight = endpoint.weight / idle_weight.max(MIN_WEIGHT);
     (relative_weight * (1.0 + IN_FLIGHT_PER_BACKEND / 2.0)).clamp(0.0, 1.0).powi(2)
 }
--- a/src/balancer/slow_start.rs
+++ b/src/balancer/slow_start.rs
@@ -83,7 +83,7 @@
     /// the allowance for random variation; infinite once the backend is warm.
     fn window_limit(&self, backend: &TrackedBackend) -> f64 {
         let config = self.config;
-        let warm = warm_fraction(config, self.now, &backend.record, 1.0);
+        let warm = warm_fraction(config, self.now, &backend.endpoint, 1.0);
         if warm >= 1.0 {
             return f64::INFINITY;
         }
@@ -91,7 +91,7 @@
         let even_rate = fleet_rate / self.fleet.backends.len() as f64;
         // The rate that backends of its kind have handled before indicates its capacity. The current arrival
         // rate does not when few backends are ready: it is the rate that must be bounded.
-        let observed_rate = self.fleet.kind_of(backend).and_then(|kind| kind.speed.observed_rate());
+        let observed_rate = self.fleet.kind_of(backend).and_then(|kind| kind.service_rate.observed_rate());
         let service_rate = observed_rate.unwrap_or(even_rate);
         let sustained = config.overload_multiple * warm * service_rate * config.overload_window.secs();
         sustained + ALLOWED_DEVIATIONS * sustained.sqrt() + ALLOWED_EXTRA_REQUESTS
@@ -130,11 +130,11 @@
     fn admits_one_in_several_windows(&self, backend: &TrackedBackend, own_requests: f64) -> bool {
         let interval = self.config.overload_window.times(1.0 / own_requests);
         // The slot at a fixed time: the rotation must not advance here.
-        let slot = Rotation::new(self.config, interval).slot(backend.record.id, Time(0));
+        let slot = Rotation::new(self.config, interval).slot(backend.endpoint.id, Time(0));
         let first = interval.times(slot);
         let interval_passed =
             backend.recent_work.last_sent_at().is_none_or(|last| self.now - last >= interval);
-        interval_passed && backend.record.started_at.is_none_or(|start| self.now >= start + first)
+        interval_passed && backend.endpoint.started_at.is_none_or(|start| self.now >= start + first)
     }
 
     /// Admits the integer part of `own_requests` in each window at every proxy. The fractional part f rotates
@@ -142,7 +142,7 @@
     /// the proxies may send one request more.
     fn admits_in_window(&self, backend: &TrackedBackend, own_requests: f64, relative_work: f64) -> bool {
         let window = self.config.overload_window;
-        let slot = Rotation::new(self.config, window).slot(backend.record.id, self.now);
+        let slot = Rotation::new(self.config, window).slot(backend.endpoint.id, self.now);
         let extra = f64::from(slot < own_requests.fract() / 2.0);
         let sent = backend.recent_work.work_within(self.now, window);
         sent / relative_work + 1.0 <= own_requests.floor() + extra
--- a/src/balancer/subscription.rs
+++ b/src/balancer/subscription.rs
@@ -43,7 +43,7 @@
 
     /// Records an update of the endpoint list. Returns whether the subscription was lost and a new call was
     /// scheduled.
-    pub fn list_arrived(
+    pub fn record_update(
         &mut self, config: &Config, now: Time, update: EndpointListUpdate, random: &mut Random,
     ) -> bool {
         match (update, config.discovery) {
--- a/src/balancer/subset.rs
+++ b/src/balancer/subset.rs
@@ -172,7 +172,7 @@
     let mut rings: BTreeMap<KindId, Vec<RingMember>> = BTreeMap::new();
     for backend in fleet.backends.values_mut() {
         let length = arc_length(config, now, backend);
-        rings.entry(backend.record.kind).or_default().push(RingMember { length, backend });
+        rings.entry(backend.endpoint.kind).or_default().push(RingMember { length, backend });
     }
     for (kind, mut ring) in rings {
         let kind = fleet.kinds.entry(kind).or_default();
@@ -182,7 +182,7 @@
 
 fn arc_length(config: &Config, now: Time, backend: &TrackedBackend) -> f64 {
     if backend.is_listed_ready() {
-        warm_fraction(config, now, &backend.record, LIKELY_DURATION_FRACTION)
+        warm_fraction(config, now, &backend.endpoint, LIKELY_DURATION_FRACTION)
     } else {
         0.0
     }
--- a/src/balancer/traffic_allocation.rs
+++ b/src/balancer/traffic_allocation.rs
@@ -53,7 +53,7 @@
 
     /// Returns the backend at `point`, a random number from 0 to 1 that is scaled to the total share; `None`
     /// if the table is empty.
-    pub fn pick(&self, point: f64) -> Option<BackendId> {
+    pub fn select(&self, point: f64) -> Option<BackendId> {
         let index = self.entries.partition_point(|entry| entry.cumulative_share <= point * self.total);
         self.entries.get(index).or(self.entries.last()).map(|entry| entry.backend)
     }
@@ -74,7 +74,7 @@
         AllocationInputs {
             fair_share: slow_start.fleet.fair_share(backend),
             max_fleet_share: slow_start.max_fleet_share(backend),
-            rotation_slot: rotation.slot(backend.record.id, slow_start.now),
+            rotation_slot: rotation.slot(backend.endpoint.id, slow_start.now),
         }
     }
 }
@@ -100,15 +100,15 @@
         .values()
         .map(|backend| AllocationInputs::of(&slow_start, &rotation, backend))
         .collect();
-    fleet.kinds.values_mut().for_each(|kind| kind.picks.clear());
+    fleet.kinds.values_mut().for_each(|kind| kind.selection_table.clear());
     for ((&id, backend), inputs) in fleet.backends.iter_mut().zip(inputs) {
-        let kind = fleet.kinds.entry(backend.record.kind).or_default();
-        let zone_factor = zones.factor(backend.record.zone);
+        let kind = fleet.kinds.entry(backend.endpoint.kind).or_default();
+        let zone_factor = zones.factor(backend.endpoint.zone);
         let equal_share = fleet_limit(backend) / (proxy_count * kind.subset.width());
-        backend.concurrency.set_own(equal_share, zone_factor, inputs.rotation_slot);
+        backend.concurrency.set_own_limit(equal_share, zone_factor, inputs.rotation_slot);
         backend.traffic_share = traffic_share(backend, kind, zone_factor, proxy_count, &inputs);
         if backend.readiness > 0.0 {
-            kind.picks.push(id, backend.traffic_share);
+            kind.selection_table.push(id, backend.traffic_share);
         }
     }
 }
--- a/src/balancer/zone_preference.rs
+++ b/src/balancer/zone_preference.rs
@@ -27,7 +27,7 @@
         }
         let mut fair_shares: BTreeMap<ZoneId, f64> = BTreeMap::new();
         for backend in fleet.backends.values().filter(|backend| backend.readiness > 0.0) {
-            *fair_shares.entry(backend.record.zone).or_default() += fleet.fair_share(backend);
+            *fair_shares.entry(backend.endpoint.zone).or_default() += fleet.fair_share(backend);
         }
         ZonePreference { factors: factors(config.local_zone, fair_shares) }
     }
--- a/src/bin/load-balancer-proxy/config.rs
+++ b/src/bin/load-balancer-proxy/config.rs
@@ -104,7 +104,7 @@
 
 impl From<ProxySettingsMessage> for Settings {
     fn from(message: ProxySettingsMessage) -> Settings {
-        let drain_notice_limit = message.stop_sending_within.unwrap_or(MIN_DRAIN_NOTICE_LIMIT);
+        let drain_notice_limit = message.drain_notice_limit.unwrap_or(MIN_DRAIN_NOTICE_LIMIT);
         Settings {
             version: 1,
             balancer: message.balancer.config,
--- a/src/bin/load-balancer-proxy/dispatcher/message_handling.rs
+++ b/src/bin/load-balancer-proxy/dispatcher/message_handling.rs
@@ -87,10 +87,10 @@
     /// Replaces the settings. The event is queued after those of earlier requests, whose class and tenant ids
     /// refer to the replaced settings.
     fn settings_replaced(&mut self, replacement: SettingsReplacement) {
-        let SettingsReplacement { settings, update, retired } = replacement;
+        let SettingsReplacement { settings, update, replaced_settings_sender } = replacement;
         self.pool.set_timeouts(settings.connect_timeout, settings.idle_timeout);
         let replaced = std::mem::replace(&mut self.settings, settings);
-        let _ = retired.send(replaced);
+        let _ = replaced_settings_sender.send(replaced);
         self.events.push(Event::ConfigReplaced(update));
     }
 
--- a/src/bin/load-balancer-proxy/messages.rs
+++ b/src/bin/load-balancer-proxy/messages.rs
@@ -87,7 +87,7 @@
     pub update: Box<ConfigUpdate>,
     /// Receives the old settings, which another thread frees: freeing the names of thousands of classes and
     /// tenants on the event loop would delay requests.
-    pub retired: SyncSender<Arc<Settings>>,
+    pub replaced_settings_sender: SyncSender<Arc<Settings>>,
 }
 
 /// State of the dispatcher that the readiness probe reports.
--- a/src/bin/load-balancer-proxy/reload/config_reader.rs
+++ b/src/bin/load-balancer-proxy/reload/config_reader.rs
@@ -48,7 +48,7 @@
     /// `None` if the settings are the same as the current ones.
     pub new_settings: Option<NewSettings>,
     /// Receives the old settings, which the thread frees.
-    pub retired: SyncSender<Arc<Settings>>,
+    pub replaced_settings_sender: SyncSender<Arc<Settings>>,
 }
 
 /// Starts the thread that reads the configuration; returns the receiver of its result.
@@ -56,10 +56,10 @@
     restart_only: RestartOnlySettings, current: Arc<Settings>,
 ) -> io::Result<oneshot::Receiver<Result<LoadedConfig, ReloadError>>> {
     let (result_sender, result) = oneshot::channel();
-    let (retired_sender, retired) = sync_channel(SETTINGS_OWNERS);
+    let (replaced_settings_sender, replaced_settings) = sync_channel(SETTINGS_OWNERS);
     let read = move || {
-        let _ = result_sender.send(load(restart_only, &current, retired_sender));
-        free_retired(current, retired);
+        let _ = result_sender.send(load(restart_only, &current, replaced_settings_sender));
+        free_replaced_settings(current, replaced_settings);
     };
     std::thread::Builder::new().name("reload".into()).spawn(read)?;
     Ok(result)
@@ -67,7 +67,8 @@
 
 /// Reads the configuration and compares it with the current settings.
 fn load(
-    restart_only: RestartOnlySettings, current: &Settings, retired: SyncSender<Arc<Settings>>,
+    restart_only: RestartOnlySettings, current: &Settings,
+    replaced_settings_sender: SyncSender<Arc<Settings>>,
 ) -> Result<LoadedConfig, ReloadError> {
     let mut config = config::load().map_err(|error| ReloadError::Config(error.to_string()))?;
     let kept_keys = restart_only.kept_keys(&RestartOnlySettings::of(&config));
@@ -79,17 +80,17 @@
     let mut new_settings = None;
     if settings != current {
         settings.version += 1;
-        let update = Box::new(settings.names.update(&current.names, settings.balancer.clone()));
+        let update = Box::new(settings.names.config_update(&current.names, settings.balancer.clone()));
         new_settings = Some(NewSettings { settings: config.settings, update });
     }
-    Ok(LoadedConfig { discovery: config.discovery, kept_keys, new_settings, retired })
+    Ok(LoadedConfig { discovery: config.discovery, kept_keys, new_settings, replaced_settings_sender })
 }
 
 /// Frees the old settings once their owners have sent them back: freeing the names of thousands of classes
 /// and tenants on the event loop would stall it.
-fn free_retired(current: Arc<Settings>, retired: Receiver<Arc<Settings>>) {
+fn free_replaced_settings(current: Arc<Settings>, replaced_settings: Receiver<Arc<Settings>>) {
     drop(current);
-    for settings in retired {
+    for settings in replaced_settings {
         drop(settings);
     }
 }
--- a/src/bin/load-balancer-proxy/reload/mod.rs
+++ b/src/bin/load-balancer-proxy/reload/mod.rs
@@ -78,7 +78,7 @@
             is_modified
         });
         if let Some(new_settings) = loaded.new_settings {
-            self.replace_settings(new_settings, loaded.retired);
+            self.replace_settings(new_settings, loaded.replaced_settings_sender);
         }
         let settings = self.server.settings();
         let (version, balancer) = (settings.version, &settings.balancer);
@@ -86,12 +86,14 @@
         tracing::info!(version, classes, tenants, "SIGHUP: configuration in force");
     }
 
-    fn replace_settings(&self, new_settings: NewSettings, retired: SyncSender<Arc<Settings>>) {
+    fn replace_settings(
+        &self, new_settings: NewSettings, replaced_settings_sender: SyncSender<Arc<Settings>>,
+    ) {
         let NewSettings { settings, update } = new_settings;
         self.watch_settings.set(watch_settings(&settings));
         let replaced = self.server.replace_settings(settings.clone());
-        let _ = retired.send(replaced);
-        let replacement = SettingsReplacement { settings, update, retired };
+        let _ = replaced_settings_sender.send(replaced);
+        let replacement = SettingsReplacement { settings, update, replaced_settings_sender };
         self.server.notify_dispatcher(DispatcherMessage::SettingsReplaced(replacement));
     }
 }
--- a/src/bin/load-balancer-proxy/server/listener.rs
+++ b/src/bin/load-balancer-proxy/server/listener.rs
@@ -1,7 +1,7 @@
 //! The listening socket: accepts client connections and continues after failed calls of accept.
 
 use load_balancer::net::backoff::Backoff;
-use load_balancer::net::resource_exhaustion::is_exhausted;
+use load_balancer::net::resource_exhaustion::is_resource_exhaustion;
 use std::future::poll_fn;
 use std::io;
 use std::task::{Context, Poll};
@@ -111,7 +111,7 @@
 /// Records a failed accept: either a single connection was lost, or the resources of this machine are
 /// exhausted and the next call has to back off.
 fn record_failure(backoff: &mut Backoff, error: &io::Error) {
-    if !is_exhausted(error) {
+    if !is_resource_exhaustion(error) {
         tracing::debug!(%error, "accept failed");
         return;
     }
--- a/src/bin/load-balancer-proxy/startup.rs
+++ b/src/bin/load-balancer-proxy/startup.rs
@@ -190,7 +190,7 @@
     let version = list.as_ref().map(|list| list.version);
     let mut endpoints = list.map(|list| list.endpoints).unwrap_or_default();
     let mut start_times = StartTimes::default();
-    start_times.place(clock.now(), true, &mut endpoints);
+    start_times.convert_to_local(clock.now(), true, &mut endpoints);
     CachedList { version, endpoints, start_times }
 }
 
--- a/src/discovery/start_times.rs
+++ b/src/discovery/start_times.rs
@@ -33,7 +33,7 @@
 impl StartTimes {
     /// Converts the start times in a list that arrived at `now`, in place. The list is a snapshot or a delta,
     /// which may be empty.
-    pub fn place(&mut self, now: Time, is_snapshot: bool, endpoints: &mut [Endpoint]) {
+    pub fn convert_to_local(&mut self, now: Time, is_snapshot: bool, endpoints: &mut [Endpoint]) {
         self.bound_offset(now, endpoints);
         if is_snapshot {
             self.remove_unlisted(endpoints);
--- a/src/discovery/watch.rs
+++ b/src/discovery/watch.rs
@@ -184,7 +184,7 @@
             return;
         }
         tracing::debug!(version, entries = list.endpoints.len(), "endpoint list received");
-        self.watch.start_times.place((self.watch.now)(), is_snapshot, &mut list.endpoints);
+        self.watch.start_times.convert_to_local((self.watch.now)(), is_snapshot, &mut list.endpoints);
         self.watch.version = Some(version);
         self.waits_for_balancer = false;
         self.backoff = INITIAL_BACKOFF;
--- a/src/estimators/mod.rs
+++ b/src/estimators/mod.rs
@@ -4,6 +4,6 @@
 mod running_mean;
 mod token_bucket;
 
-pub(crate) use rate::{Rate, RATE_MEMORY};
+pub(crate) use rate::{Rate, RATE_TIME_CONSTANT};
 pub(crate) use running_mean::RunningMean;
 pub(crate) use token_bucket::TokenBucket;
--- a/src/estimators/token_bucket.rs
+++ b/src/estimators/token_bucket.rs
@@ -1,10 +1,10 @@
 //! Token bucket.
 
-use super::RATE_MEMORY;
+use super::RATE_TIME_CONSTANT;
 use crate::units::{Micros, Time};
 
 /// Burst size: a full bucket holds the tokens that its rate yields in this time.
-const BURST: Micros = RATE_MEMORY;
+const BURST: Micros = RATE_TIME_CONSTANT;
 
 /// A token bucket that starts full. Its capacity is what its rate yields in [`BURST`], at least one token.
 #[derive(Default)]
--- a/src/net/resource_exhaustion.rs
+++ b/src/net/resource_exhaustion.rs
@@ -17,13 +17,13 @@
     [libc::EADDRINUSE, libc::EADDRNOTAVAIL, libc::ENETDOWN, libc::ENETUNREACH];
 
 /// Returns whether an error means that local resources were exhausted.
-pub fn is_exhausted(error: &io::Error) -> bool {
+pub fn is_resource_exhaustion(error: &io::Error) -> bool {
     is_one_of(error, &EXHAUSTION_ERRORS)
 }
 
 /// Returns whether a connect failed for a local reason, which says nothing about the remote side.
 pub fn is_local_failure(error: &io::Error) -> bool {
-    is_exhausted(error) || is_one_of(error, &LOCAL_ADDRESS_ERRORS)
+    is_resource_exhaustion(error) || is_one_of(error, &LOCAL_ADDRESS_ERRORS)
 }
 
 /// Retries an operation for up to two seconds while local resources are exhausted. Blocks the thread between
@@ -36,7 +36,7 @@
     let end = Instant::now() + RETRY_TIMEOUT;
     loop {
         match operation() {
-            Err(error) if is_exhausted(&error) && Instant::now() < end => {
+            Err(error) if is_resource_exhaustion(&error) && Instant::now() < end => {
                 std::thread::sleep(RETRY_INTERVAL);
             }
             result => return result,
@@ -53,7 +53,7 @@
     let end = tokio::time::Instant::now() + RETRY_TIMEOUT;
     loop {
         match operation() {
-            Err(error) if is_exhausted(&error) && tokio::time::Instant::now() < end => {
+            Err(error) if is_resource_exhaustion(&error) && tokio::time::Instant::now() < end => {
                 tokio::time::sleep(RETRY_INTERVAL).await;
             }
             result => return result,
--- a/src/random.rs
+++ b/src/random.rs
@@ -24,7 +24,7 @@
     }
 
     /// Chooses an item with a probability proportional to its weight; `None` only if `choices` is empty.
-    pub fn pick<T: Copy>(&mut self, choices: &[Weighted<T>]) -> Option<T> {
+    pub fn choose_weighted<T: Copy>(&mut self, choices: &[Weighted<T>]) -> Option<T> {
         let total = choices.iter().map(|choice| choice.weight).sum::<f64>();
         let mut remaining = self.unit() * total;
         for choice in choices {
--- a/src/wire/names.rs
+++ b/src/wire/names.rs
@@ -40,7 +40,7 @@
     /// Returns the update to `config`, whose classes and tenants have the names in `self`, from a
     /// configuration with the names in `old`. Each class and tenant is mapped to its previous id, or to
     /// `None` if it is new.
-    pub fn update(&self, old: &Names, config: Config) -> ConfigUpdate {
+    pub fn config_update(&self, old: &Names, config: Config) -> ConfigUpdate {
         let mut previous_classes = vec![None; config.classes.len()];
         for (name, id) in &self.classes {
             if let Some(previous) = previous_classes.get_mut(id.0) {
--- a/src/wire/proxy_config.rs
+++ b/src/wire/proxy_config.rs
@@ -35,7 +35,7 @@
     pub balancer: SettingsMessage,
     /// Time within which requests to a backend must stop after discovery lists it as draining. `None` if the
     /// file does not set it.
-    pub stop_sending_within: Option<Micros>,
+    pub drain_notice_limit: Option<Micros>,
     /// Number of requests that may be open at the same time.
     pub max_open_requests: u32,
     /// Longest time that a backend keeps an idle connection open; it may close the connection earlier.
@@ -52,9 +52,9 @@
         let max_file_descriptors = document.object("limits").required("sockets")?;
         let settings = document.object("settings");
         let balancer = decode_balancer(&settings)?;
-        let stop_sending_within = settings.object("rules").optional("stop_sending_within_us")?;
+        let drain_notice_limit = settings.object("rules").optional("stop_sending_within_us")?;
         let seed: &str = document.required("seed")?;
-        let settings = decode_settings(&settings, balancer, stop_sending_within)?;
+        let settings = decode_settings(&settings, balancer, drain_notice_limit)?;
         let listen = decode_address(&document, "listen")?;
         let discovery = decode_address(&document, "discovery")?;
         let seed =
@@ -79,12 +79,12 @@
 }
 
 fn decode_settings(
-    settings: &Object, balancer: SettingsMessage, stop_sending_within: Option<Micros>,
+    settings: &Object, balancer: SettingsMessage, drain_notice_limit: Option<Micros>,
 ) -> Result<ProxySettingsMessage, WireError> {
     let limits = settings.object("limits");
     Ok(ProxySettingsMessage {
         balancer,
-        stop_sending_within,
+        drain_notice_limit,
         max_open_requests: limits.required("open_cap")?,
         idle_timeout: limits.required("conn_idle_us")?,
         connect_timeout: limits.required("dial_timeout_us")?,
--- a/tests/discovery/start_times.rs
+++ b/tests/discovery/start_times.rs
@@ -20,7 +20,7 @@
     start_times: &mut StartTimes, at: u64, is_snapshot: bool, mut endpoints: Vec<Endpoint>,
 ) -> Vec<Option<u64>> {
     let now = Time(PROXY_START + at * SECOND);
-    start_times.place(now, is_snapshot, &mut endpoints);
+    start_times.convert_to_local(now, is_snapshot, &mut endpoints);
     let age =
         |endpoint: &Endpoint| endpoint.backend.started_at.map(|started_at| (now - started_at).0 / SECOND);
     endpoints.iter().map(age).collect()
