--- a/tests/balancer/admission.rs
+++ b/tests/balancer/admission.rs
@@ -1,6 +1,6 @@
 //! Load shedding by admission control.
 
-use crate::support::{backends, host, serve, Answer, Host};
+use crate::support::{backends, host, serve, Host, RequestOutcome};
 use load_balancer::{Config, Outcome, RequestId};
 
 /// Guards against load that is not shed while responses are slow, or still shed after they are prompt again.
@@ -12,11 +12,11 @@
             .map(|_| {
                 let id = host.arrive(0, 900_000);
                 host.advance(duration_us);
-                host.end(id, 0, Outcome::Success);
+                host.end_attempt(id, 0, Outcome::Success);
                 id
             })
             .collect();
-        ids.into_iter().filter(|id| host.answer(*id) == Some(Answer::Rejected)).count()
+        ids.into_iter().filter(|id| host.outcome_of(*id) == Some(RequestOutcome::Rejected)).count()
     };
     assert_eq!(rejected(&mut host, 100_000), 0, "requests were rejected while responses are prompt");
     assert!(rejected(&mut host, 450_000) > 20, "too few requests were rejected while responses are slow");
@@ -55,7 +55,7 @@
     for _ in 0..30 {
         host.advance(150_000); // no attempt ends
         let id = host.arrive(0, 20_000_000);
-        rejected += usize::from(host.answer(id) == Some(Answer::Rejected));
+        rejected += usize::from(host.outcome_of(id) == Some(RequestOutcome::Rejected));
     }
     assert!(rejected >= 8, "only {rejected} of 30 requests were rejected");
 }
--- a/tests/balancer/concurrency_limit.rs
+++ b/tests/balancer/concurrency_limit.rs
@@ -41,7 +41,7 @@
     let AttemptId { request, number } = in_flight[0];
     host.advance(20_000);
     let before = host.in_flight().len();
-    host.end(request, number, Outcome::Success);
+    host.end_attempt(request, number, Outcome::Success);
     assert_eq!(host.in_flight().len(), before, "freed capacity is not used at once");
 }
 
--- a/tests/balancer/deadlines.rs
+++ b/tests/balancer/deadlines.rs
@@ -1,6 +1,6 @@
 //! Requests near their deadline, and attempts that exceed their latency objective.
 
-use crate::support::{backends, class, config_of, host, serve, Answer};
+use crate::support::{backends, class, config_of, host, serve, RequestOutcome};
 use load_balancer::{Config, Idempotency, Outcome};
 
 /// Guards against requests that wait past their deadline when no backend is known.
@@ -10,7 +10,7 @@
         host(config_of(vec![class(Idempotency::Idempotent), class(Idempotency::NonIdempotent)]), Vec::new());
     let ids = [host.arrive(0, 700_000), host.arrive(1, 700_000)];
     host.advance(500_000);
-    assert!(ids.iter().all(|id| host.answer(*id) == Some(Answer::Rejected)));
+    assert!(ids.iter().all(|id| host.outcome_of(*id) == Some(RequestOutcome::Rejected)));
 }
 
 /// Guards against a timer that fires too late for the first request after an idle period.
@@ -20,7 +20,7 @@
     host.advance(1_000_000);
     let id = host.arrive(0, 6_000);
     host.advance(20_000);
-    assert_eq!(host.answer(id), Some(Answer::Rejected));
+    assert_eq!(host.outcome_of(id), Some(RequestOutcome::Rejected));
 }
 
 /// Guards against stalled responses that use up the concurrency limit until their deadline.
@@ -34,8 +34,8 @@
     for id in stuck {
         let request = &host.requests[&id];
         assert_eq!(
-            request.answer,
-            Some(Answer::Failed),
+            request.outcome,
+            Some(RequestOutcome::Failed),
             "the request is not given up although a late response has no weight"
         );
         assert_eq!(request.attempts[0].outcome, Some(Outcome::Cancelled));
@@ -53,9 +53,13 @@
     serve(&mut host, 60, 0, |_| 60_000);
     let slow = host.arrive(0, 5_000_000);
     serve(&mut host, 10, 0, |_| 60_000);
-    assert_eq!(host.answer(slow), None, "the request ended while its backend is ten times slower than usual");
-    host.end(slow, 0, Outcome::Success);
-    assert_eq!(host.answer(slow), Some(Answer::Served));
+    assert_eq!(
+        host.outcome_of(slow),
+        None,
+        "the request ended while its backend is ten times slower than usual"
+    );
+    host.end_attempt(slow, 0, Outcome::Success);
+    assert_eq!(host.outcome_of(slow), Some(RequestOutcome::Served));
 }
 
 /// Guards against a retry or a final response while a response is streamed to the client.
@@ -65,6 +69,6 @@
     let id = host.arrive(0, 300_000);
     host.start_stream(id, 0);
     host.advance(2_000_000);
-    assert_eq!(host.answer(id), None);
+    assert_eq!(host.outcome_of(id), None);
     assert_eq!(host.dispatched_to(id).len(), 1);
 }
--- a/tests/balancer/fleet.rs
+++ b/tests/balancer/fleet.rs
@@ -1,6 +1,6 @@
 //! The combined behaviour of a fleet of proxies, whose balancers do not communicate.
 
-use crate::support::{backend, backends, serve, Answer, Host};
+use crate::support::{backend, backends, serve, Host, RequestOutcome};
 use load_balancer::{Backend, Config, DiscoveryMode, EndpointListUpdate, Event, Micros, Outcome};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
@@ -157,7 +157,7 @@
         let rejected = host.arrive(0, 300_000);
         host.advance(300_000);
         assert!(host.dispatched_to(rejected).is_empty());
-        assert_eq!(host.answer(rejected), Some(Answer::Rejected));
+        assert_eq!(host.outcome_of(rejected), Some(RequestOutcome::Rejected));
         let queued = host.arrive(0, 900_000);
         host.update_endpoints(EndpointListUpdate::Snapshot, new_kind.clone());
         assert_eq!(
@@ -207,10 +207,14 @@
             let count = mean + f64::from(random.next_u32()) / f64::from(u32::MAX);
             host.burst(count as usize, 0, 400_000);
             host.serve_all(load.step_us);
-            let ended = host.requests.values().filter(|request| request.answer.is_some());
+            let ended = host.requests.values().filter(|request| request.outcome.is_some());
             let attempts = ended.flat_map(|request| &request.attempts);
-            times.extend(attempts.filter(|attempt| attempt.backend.0 == backend).map(|attempt| attempt.at.0));
-            host.requests.retain(|_, request| request.answer.is_none());
+            times.extend(
+                attempts
+                    .filter(|attempt| attempt.backend.0 == backend)
+                    .map(|attempt| attempt.dispatched_at.0),
+            );
+            host.requests.retain(|_, request| request.outcome.is_none());
         }
     }
     times.sort_unstable();
--- a/tests/balancer/fleet_growth.rs
+++ b/tests/balancer/fleet_growth.rs
@@ -128,10 +128,10 @@
         while in_flight.last().is_some_and(|request| request.end <= next) {
             let Some(InFlight { end, id }) = in_flight.pop() else { break };
             host.advance(end.saturating_sub(host.now.0));
-            host.end(id, 0, Outcome::Success);
+            host.end_attempt(id, 0, Outcome::Success);
         }
         host.advance(next.saturating_sub(host.now.0));
-        host.requests.retain(|_, request| request.answer.is_none());
+        host.requests.retain(|_, request| request.outcome.is_none());
     }
     ConnectionUse { opened: f64::from(pool.opened), most_open: pool.most_open as f64 }
 }
--- a/tests/balancer/fleet_slow_start.rs
+++ b/tests/balancer/fleet_slow_start.rs
@@ -115,7 +115,7 @@
             self.end_attempts(step);
             let is_last = step + 1 == STEPS_BEFORE + STEPS_AFTER;
             self.add_sent_work(start, is_last, sent);
-            self.host.requests.retain(|_, request| request.answer.is_none());
+            self.host.requests.retain(|_, request| request.outcome.is_none());
         }
     }
 
@@ -141,9 +141,9 @@
             let attempt = &request.attempts[number];
             let duration_us = relative_work(request.class) * SERVICE_US as f64;
             if self.scenario.refuses_connections(attempt.backend.0, step) {
-                self.host.end(id, number, Outcome::ConnectFailed);
-            } else if (self.host.now - attempt.at).0 as f64 >= duration_us {
-                self.host.end(id, number, Outcome::Success);
+                self.host.end_attempt(id, number, Outcome::ConnectFailed);
+            } else if (self.host.now - attempt.dispatched_at).0 as f64 >= duration_us {
+                self.host.end_attempt(id, number, Outcome::Success);
             }
         }
     }
@@ -151,10 +151,12 @@
     /// Adds the attempts sent since `start` by the requests that have ended, or by all requests.
     fn add_sent_work(&self, start: Time, all_requests: bool, sent: &mut SentWork) {
         let end = start + Micros(STEPS_AFTER * STEP_US);
-        let ended = self.host.requests.values().filter(|request| all_requests || request.answer.is_some());
+        let ended = self.host.requests.values().filter(|request| all_requests || request.outcome.is_some());
         for request in ended {
-            for attempt in request.attempts.iter().filter(|attempt| (start..end).contains(&attempt.at)) {
-                let step = ((attempt.at - start).0 / STEP_US) as usize;
+            for attempt in
+                request.attempts.iter().filter(|attempt| (start..end).contains(&attempt.dispatched_at))
+            {
+                let step = ((attempt.dispatched_at - start).0 / STEP_US) as usize;
                 sent[attempt.backend.0 as usize][step] += relative_work(request.class);
             }
         }
--- a/tests/balancer/invariants.rs
+++ b/tests/balancer/invariants.rs
@@ -104,7 +104,7 @@
             }
             Step::End(n, outcome) => {
                 if let Some(AttemptId { request, number }) = nth(&host.in_flight(), n) {
-                    host.end(request, number, outcome);
+                    host.end_attempt(request, number, outcome);
                 }
             }
             Step::Stream(n) => {
@@ -113,7 +113,7 @@
                 }
             }
             Step::Disconnect(n) => {
-                let unanswered = host.requests.iter().filter(|(_, request)| request.answer.is_none());
+                let unanswered = host.requests.iter().filter(|(_, request)| request.outcome.is_none());
                 let unanswered: Vec<RequestId> = unanswered.map(|(id, _)| *id).collect();
                 if let Some(id) = nth(&unanswered, n) {
                     host.disconnect(id);
@@ -139,7 +139,7 @@
         trace.push(format!("{:?}", host.last_actions));
     }
     host.advance(3_000_000);
-    let is_answered = |request: &TrackedRequest| request.answer.is_some() || request.is_streaming;
+    let is_answered = |request: &TrackedRequest| request.outcome.is_some() || request.is_streaming;
     assert!(host.requests.values().all(is_answered), "a request has no final response");
     trace
 }
--- a/tests/balancer/outlier_detection.rs
+++ b/tests/balancer/outlier_detection.rs
@@ -1,6 +1,6 @@
 //! Ejection of outliers: which backends are ejected, and for how long.
 
-use crate::support::{backends, class, config_of, host, serve, Answer, Host};
+use crate::support::{backends, class, config_of, host, serve, Host, RequestOutcome};
 use load_balancer::{Config, Idempotency, Outcome, RequestId};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
@@ -16,9 +16,9 @@
         let id = host.arrive(0, 900_000);
         let is_failing = host.dispatched_to(id)[0] == FAILING;
         host.advance(5_000);
-        host.end(id, 0, if is_failing { Outcome::ErrorResponse } else { Outcome::Success });
+        host.end_attempt(id, 0, if is_failing { Outcome::ErrorResponse } else { Outcome::Success });
         let attempts = host.requests[&id].attempts.len();
-        host.end(id, attempts - 1, Outcome::Success);
+        host.end_attempt(id, attempts - 1, Outcome::Success);
         if host.has_ejected_any() {
             return FAILING;
         }
@@ -55,7 +55,7 @@
         let fails = is_failing && sent % 3 > 0;
         errors += u32::from(fails);
         host.advance(10_000);
-        host.end(id, 0, if fails { Outcome::ErrorResponse } else { Outcome::Success });
+        host.end_attempt(id, 0, if fails { Outcome::ErrorResponse } else { Outcome::Success });
     }
     assert!((10..=26).contains(&errors), "{errors} errors in 30 s");
 }
@@ -68,12 +68,12 @@
     serve(&mut host, 60, 0, |_| 10_000);
     let id = host.arrive(0, 900_000);
     let first = host.dispatched_to(id)[0];
-    host.end(id, 0, Outcome::ConnectFailed);
+    host.end_attempt(id, 0, Outcome::ConnectFailed);
     assert!(
         host.dispatched_to(id).len() == 2 && host.dispatched_to(id)[1] != first,
         "the retry went to the same backend, or there was none"
     );
-    host.end(id, 1, Outcome::Success);
+    host.end_attempt(id, 1, Outcome::Success);
     // Takes less time than the shortest ejection.
     assert!(serve(&mut host, 120, 0, |_| 5_000).contains(&first), "ejected for one refused connection");
     let mut connects = 0;
@@ -89,7 +89,7 @@
             }
         });
         host.serve_all(4_000);
-        assert_eq!(host.answer(id), Some(Answer::Served));
+        assert_eq!(host.outcome_of(id), Some(RequestOutcome::Served));
     }
     assert!((4..=12).contains(&connects), "{connects} connects in 42 s");
 }
@@ -142,7 +142,7 @@
             host.advance(10_000);
             let failure_rate = if backend == 3 { failure_rate } else { 0.07 };
             let fails = f64::from(random.next_u32()) < failure_rate * f64::from(u32::MAX);
-            host.end(id, 0, if fails { Outcome::ErrorResponse } else { Outcome::Success });
+            host.end_attempt(id, 0, if fails { Outcome::ErrorResponse } else { Outcome::Success });
         }
         used
     };
@@ -161,7 +161,7 @@
     serve(&mut host, 60, 0, |_| 10_000);
     let id = host.arrive(0, 900_000);
     let first = host.dispatched_to(id)[0];
-    host.end(id, 0, Outcome::ConnectionReset);
+    host.end_attempt(id, 0, Outcome::ConnectionReset);
     // Takes less time than the shortest ejection.
     assert!(serve(&mut host, 120, 0, |_| 5_000).contains(&first), "ejected for one reset connection");
     let dead = loop {
@@ -169,7 +169,7 @@
         let chosen: Vec<u32> = requests.iter().map(|id| host.dispatched_to(*id)[0]).collect();
         let outcome = if chosen[0] == chosen[1] { Outcome::ConnectionReset } else { Outcome::Success };
         for id in requests {
-            host.end(id, 0, outcome);
+            host.end_attempt(id, 0, outcome);
         }
         if outcome == Outcome::ConnectionReset {
             break chosen[0];
@@ -195,10 +195,10 @@
         assert_eq!(host.dispatched_to(id).len(), 1, "rejected by load shedding, or without a usable backend");
         rejecting.insert(host.dispatched_to(id)[0]);
         host.advance(5_000);
-        host.end(id, 0, Outcome::Rejected);
+        host.end_attempt(id, 0, Outcome::Rejected);
         host.advance(5_000);
-        host.end(id, 1, Outcome::Success);
-        assert_eq!(host.answer(id), Some(Answer::Served), "not retried at another backend");
+        host.end_attempt(id, 1, Outcome::Success);
+        assert_eq!(host.outcome_of(id), Some(RequestOutcome::Served), "not retried at another backend");
     }
     assert!(!host.has_ejected_any(), "{:?}", host.logs);
     let used_later: BTreeSet<_> = serve(&mut host, 200, 0, |_| 5_000).into_iter().collect();
@@ -214,9 +214,9 @@
         let id = host.arrive(0, 900_000);
         let is_failing = host.dispatched_to(id).first().is_some_and(|backend| *backend != 0);
         host.advance(5_000);
-        host.end(id, 0, if is_failing { Outcome::ErrorResponse } else { Outcome::Success });
+        host.end_attempt(id, 0, if is_failing { Outcome::ErrorResponse } else { Outcome::Success });
         let number = host.requests[&id].attempts.len().saturating_sub(1);
-        host.end(id, number, Outcome::Success);
+        host.end_attempt(id, number, Outcome::Success);
     }
     let chosen = serve(&mut host, 80, 0, |_| 5_000);
     assert!(
--- a/tests/balancer/priority.rs
+++ b/tests/balancer/priority.rs
@@ -1,6 +1,6 @@
 //! Priorities of queued requests: client retries, tenant quotas and class weights.
 
-use crate::support::{backends, class, config_of, host, Answer};
+use crate::support::{backends, class, config_of, host, RequestOutcome};
 use load_balancer::{Class, Config, Idempotency, Outcome, RequestId, Tenant, TenantId};
 
 /// Guards against client retries that are served before original requests and make both late.
@@ -14,9 +14,10 @@
     let retry = host.arrive(0, 900_000);
     host.advance(15_000);
     for id in in_flight {
-        host.end(id, 0, Outcome::Success);
+        host.end_attempt(id, 0, Outcome::Success);
     }
-    let dispatched_at = |id: RequestId| host.requests[&id].attempts.first().map(|attempt| attempt.at);
+    let dispatched_at =
+        |id: RequestId| host.requests[&id].attempts.first().map(|attempt| attempt.dispatched_at);
     assert!(dispatched_at(first).is_some());
     assert!(
         dispatched_at(retry).is_none_or(|at| at >= dispatched_at(first).unwrap()),
@@ -52,7 +53,7 @@
     host.advance(900_000);
     let served = |class: usize| {
         let requests = ids.iter().copied().skip(class).step_by(2);
-        requests.filter(|id| host.answer(*id) == Some(Answer::Served)).count()
+        requests.filter(|id| host.outcome_of(*id) == Some(RequestOutcome::Served)).count()
     };
     let (light, heavy) = (served(0), served(1));
     assert!(heavy > light, "{heavy} requests of weight 8 and {light} of weight 1 were served");
--- a/tests/balancer/reconfiguration.rs
+++ b/tests/balancer/reconfiguration.rs
@@ -1,6 +1,6 @@
 //! Reconfiguration: which settings become active, which state is kept, and what pending requests keep.
 
-use crate::support::{backend, backends, class, serve, Answer, Host};
+use crate::support::{backend, backends, class, serve, Host, RequestOutcome};
 use load_balancer::{
     Action, Backend, BackendId, BackendState, CellId, Class, ClassId, Config, ConfigError, DiscoveryMode,
     EndpointListUpdate, Event, Idempotency, LogEvent, Micros, Outcome, RequestArrival, RequestId, Tenant,
@@ -20,15 +20,15 @@
     indices.iter().map(|index| index.map(ClassId)).collect()
 }
 
-/// Number of attempts of a request so far, and its answer.
+/// Number of attempts of a request so far, and its outcome.
 #[derive(Debug, PartialEq)]
 struct Progress {
     attempts: usize,
-    answer: Option<Answer>,
+    outcome: Option<RequestOutcome>,
 }
 
 fn progress_of(host: &Host, id: RequestId) -> Progress {
-    Progress { attempts: host.requests[&id].attempts.len(), answer: host.answer(id) }
+    Progress { attempts: host.requests[&id].attempts.len(), outcome: host.outcome_of(id) }
 }
 
 /// The progress of a request whose first attempt ends in a connection reset after its class was replaced.
@@ -39,7 +39,7 @@
         classes: vec![class(Idempotency::Idempotent), class(new_idempotency)],
         ..host.config.clone()
     });
-    host.end(id, 0, Outcome::ConnectionReset);
+    host.end_attempt(id, 0, Outcome::ConnectionReset);
     host.advance(10_000);
     progress_of(&host, id)
 }
@@ -47,17 +47,17 @@
 /// Guards against pending requests that are retried, or not retried, by the new idempotency of their class.
 #[test]
 fn a_pending_request_keeps_the_idempotency_of_its_arrival() {
-    let failed = Progress { attempts: 1, answer: Some(Answer::Failed) };
+    let failed = Progress { attempts: 1, outcome: Some(RequestOutcome::Failed) };
     assert_eq!(progress_after_reset(Idempotency::NonIdempotent, Idempotency::Idempotent), failed);
-    let retried = Progress { attempts: 2, answer: None };
+    let retried = Progress { attempts: 2, outcome: None };
     assert_eq!(progress_after_reset(Idempotency::Idempotent, Idempotency::NonIdempotent), retried);
     // A later request uses the new idempotency.
     let mut host = host(vec![class(Idempotency::Idempotent)]);
     host.reconfigure(Config { classes: vec![class(Idempotency::NonIdempotent)], ..host.config.clone() });
     let id = host.arrive(0, 900_000);
-    host.end(id, 0, Outcome::ConnectionReset);
+    host.end_attempt(id, 0, Outcome::ConnectionReset);
     host.advance(10_000);
-    assert_eq!(host.answer(id), Some(Answer::Failed));
+    assert_eq!(host.outcome_of(id), Some(RequestOutcome::Failed));
 }
 
 /// Guards against requests that are handled by the limits and objectives of a later configuration.
@@ -69,7 +69,7 @@
         let id = host.arrive(0, 900_000);
         host.reconfigure(Config { max_attempts: after, ..host.config.clone() });
         for number in 0..3 {
-            host.end(id, number, Outcome::Rejected);
+            host.end_attempt(id, number, Outcome::Rejected);
             host.advance(5_000);
         }
         assert_eq!(
@@ -87,8 +87,8 @@
     let with_short_objective = host.arrive(0, 900_000);
     host.advance(200_000);
     assert_eq!(
-        (host.answer(with_long_objective), host.answer(with_short_objective)),
-        (None, Some(Answer::Rejected))
+        (host.outcome_of(with_long_objective), host.outcome_of(with_short_objective)),
+        (None, Some(RequestOutcome::Rejected))
     );
 }
 
@@ -122,14 +122,14 @@
         class_ids(&[None]),
         Vec::new(),
     );
-    host.end(of_removed_class, 0, Outcome::ConnectionReset);
-    host.end(of_moved_class, 0, Outcome::ConnectionReset);
-    host.end(of_new_class, 0, Outcome::Success);
+    host.end_attempt(of_removed_class, 0, Outcome::ConnectionReset);
+    host.end_attempt(of_moved_class, 0, Outcome::ConnectionReset);
+    host.end_attempt(of_new_class, 0, Outcome::Success);
     host.advance(10_000);
-    let failed = Progress { attempts: 1, answer: Some(Answer::Failed) };
-    let served = Progress { attempts: 1, answer: Some(Answer::Served) };
+    let failed = Progress { attempts: 1, outcome: Some(RequestOutcome::Failed) };
+    let served = Progress { attempts: 1, outcome: Some(RequestOutcome::Served) };
     assert_eq!((progress_of(&host, of_removed_class), progress_of(&host, of_new_class)), (failed, served));
-    assert_eq!(progress_of(&host, of_moved_class), Progress { attempts: 2, answer: None });
+    assert_eq!(progress_of(&host, of_moved_class), Progress { attempts: 2, outcome: None });
     // The attempt outlives its request and its class.
     host.disconnect(of_moved_class);
     host.reconfigure_from(
@@ -137,7 +137,7 @@
         class_ids(&[None]),
         vec![],
     );
-    host.end(of_moved_class, 1, Outcome::Success);
+    host.end_attempt(of_moved_class, 1, Outcome::Success);
     assert_eq!(serve(&mut host, 5, 0, |_| 20_000).len(), 5);
 }
 
@@ -157,7 +157,7 @@
         let id = host.arrive(0, 900_000);
         (1..).find(|_| {
             host.advance(10_000);
-            host.answer(id).is_some()
+            host.outcome_of(id).is_some()
         })
     };
     let (slow, quick, new) = (given_up_after(Some(1)), given_up_after(Some(0)), given_up_after(None));
@@ -176,7 +176,7 @@
         if host.has_ejected(BackendId(2)) {
             break;
         }
-        assert!(host.answer(id).is_some());
+        assert!(host.outcome_of(id).is_some());
     }
     assert!(host.has_ejected(BackendId(2)), "{:?}", host.logs);
     host.reconfigure(Config { cross_zone_cost: 0.1, ..host.config.clone() });
@@ -225,7 +225,7 @@
         for _ in 0..8 {
             let id = host.arrive_for(0, 400_000, Some(TenantId(1)));
             host.advance(5_000);
-            host.end(id, 0, Outcome::Success);
+            host.end_attempt(id, 0, Outcome::Success);
         }
         let tenants = vec![Tenant { quota_per_second: 3.0 }];
         let previous_tenants = vec![previous_tenant.map(TenantId)];
@@ -285,7 +285,7 @@
     host.reconfigure(Config { proxy_count: 3, ..host.config.clone() });
     for _ in 0..50 {
         let id = host.arrive(0, 900_000);
-        assert_eq!(host.answer(id), None, "the request was shed");
+        assert_eq!(host.outcome_of(id), None, "the request was shed");
         host.serve_all(10_000);
     }
 }
--- a/tests/balancer/reconfiguration_invariants.rs
+++ b/tests/balancer/reconfiguration_invariants.rs
@@ -100,13 +100,13 @@
                 if let Some(AttemptId { request, number }) =
                     in_flight.get(n % in_flight.len().max(1)).copied()
                 {
-                    host.end(request, number, *outcome);
+                    host.end_attempt(request, number, *outcome);
                 }
             }
             Step::Disconnect(n) => {
-                let unanswered = host.requests.iter().filter(|(_, request)| request.answer.is_none());
+                let unanswered = host.requests.iter().filter(|(_, request)| request.outcome.is_none());
                 let unanswered = unanswered.map(|(id, _)| *id);
-                if let Some(id) = unanswered.cycle().nth(*n).filter(|id| host.answer(*id).is_none()) {
+                if let Some(id) = unanswered.cycle().nth(*n).filter(|id| host.outcome_of(*id).is_none()) {
                     host.disconnect(id);
                 }
             }
@@ -132,7 +132,7 @@
         }
     }
     host.advance(3_000_000);
-    assert!(host.requests.values().all(|request| request.answer.is_some()), "a request was not answered");
+    assert!(host.requests.values().all(|request| request.outcome.is_some()), "a request was not answered");
 }
 
 /// Guards against a sequence of events and reconfigurations that violates an invariant of the balancer.
--- a/tests/balancer/retry.rs
+++ b/tests/balancer/retry.rs
@@ -1,6 +1,6 @@
 //! Retries and hedged requests: when they are sent, and to which backends.
 
-use crate::support::{backend, backends, class, config_of, host, serve, Answer, Host};
+use crate::support::{backend, backends, class, config_of, host, serve, Host, RequestOutcome};
 use load_balancer::{Action, Config, Idempotency, IdempotencyScope, Micros, Outcome, RequestId};
 
 /// Guards against requests stuck at an unresponsive backend, and hedging of requests that are merely slow.
@@ -39,10 +39,10 @@
     let mut host = host(config_of(vec![class(Idempotency::NonIdempotent)]), backends(6));
     serve(&mut host, 60, 0, |_| 10_000);
     let id = host.arrive(0, 900_000);
-    host.end(id, 0, Outcome::ErrorResponse);
-    assert_eq!(host.answer(id), Some(Answer::Failed));
+    host.end_attempt(id, 0, Outcome::ErrorResponse);
+    assert_eq!(host.outcome_of(id), Some(RequestOutcome::Failed));
     let id = host.arrive(0, 900_000);
-    host.end(id, 0, Outcome::ConnectFailed);
+    host.end_attempt(id, 0, Outcome::ConnectFailed);
     assert_eq!(host.dispatched_to(id).len(), 2);
 }
 
@@ -53,17 +53,17 @@
     let mut host = host(config_of(vec![keyed]), (0..6).map(|id| backend(id, id % 2, 0)).collect());
     serve(&mut host, 60, 0, |_| 10_000);
     let id = host.arrive(0, 900_000);
-    host.end(id, 0, Outcome::ErrorResponse);
+    host.end_attempt(id, 0, Outcome::ErrorResponse);
     let sent = host.dispatched_to(id);
     assert!(sent.len() == 2 && sent[0] % 2 == sent[1] % 2, "{sent:?}");
     let id = host.arrive(0, 900_000);
     host.advance(210_000);
     let sent = host.dispatched_to(id).len();
     for number in 0..sent {
-        host.end(id, number, Outcome::ErrorResponse);
+        host.end_attempt(id, number, Outcome::ErrorResponse);
     }
     assert_eq!(host.dispatched_to(id).len(), sent, "retried after the idempotency window");
-    assert_eq!(host.answer(id), Some(Answer::Failed));
+    assert_eq!(host.outcome_of(id), Some(RequestOutcome::Failed));
 }
 
 /// Guards against an attempt that a stalled host writes after the end of the idempotency window.
@@ -86,12 +86,12 @@
     let tick = host.config.tick;
     assert!(write_by(&host).is_some_and(|by| by <= end && by + tick >= end), "write_by of the first attempt");
     host.advance(50_000);
-    host.end(id, 0, Outcome::ErrorResponse);
+    host.end_attempt(id, 0, Outcome::ErrorResponse);
     assert!(write_by(&host).is_some_and(|by| by <= end && by + tick >= end), "write_by of the retry");
     for class in [1, 2, 3] {
         let id = host.arrive(class, 900_000);
         assert_eq!(write_by(&host), None);
-        host.end(id, 0, Outcome::ErrorResponse);
+        host.end_attempt(id, 0, Outcome::ErrorResponse);
         assert_eq!(host.dispatched_to(id).len() > 1, class == 2, "retry of class {class}");
     }
 }
@@ -110,12 +110,12 @@
     assert!(in_flight.len() >= 3, "{} of eight attempts at one of two backends", in_flight.len());
     host.advance(5_000);
     for id in &in_flight[..2] {
-        host.end(*id, 0, Outcome::ConnectionReset);
+        host.end_attempt(*id, 0, Outcome::ConnectionReset);
     }
     assert!(host.has_ejected_any(), "two connection resets in a row do not eject the backend");
     // Frees capacity for hedged requests.
     for id in in_flight_at(&host, 1) {
-        host.end(id, 0, Outcome::Success);
+        host.end_attempt(id, 0, Outcome::Success);
     }
     host.advance(20_000);
     assert_eq!(
--- a/tests/balancer/slow_start.rs
+++ b/tests/balancer/slow_start.rs
@@ -47,7 +47,7 @@
     // backend.
     let attempts = || {
         let all = host.requests.values().flat_map(|request| &request.attempts);
-        all.filter(|attempt| Some(attempt.at) >= started_at)
+        all.filter(|attempt| Some(attempt.dispatched_at) >= started_at)
     };
     let most = (0..12).map(|id| attempts().filter(|attempt| attempt.backend == BackendId(id)).count()).max();
     assert!(sent >= 1 && most <= Some(13), "{sent} requests sent, at most {most:?} to one warming backend");
--- a/tests/balancer/support/host.rs
+++ b/tests/balancer/support/host.rs
@@ -1,7 +1,7 @@
 //! A host for one balancer that executes its actions and checks every invariant.
 
 use super::rules::{check_cancellation, check_deadlines, check_dispatch, check_rejection};
-use super::tracked_request::{Answer, Attempt, AttemptId, TrackedRequest};
+use super::tracked_request::{Attempt, AttemptId, RequestOutcome, TrackedRequest};
 use load_balancer::{
     Action, AttemptNumber, AttemptResult, Backend, BackendId, BackendState, Balancer, ClassId, Config,
     ConfigUpdate, DiscoveryMode, EndpointListUpdate, Event, LogEvent, Micros, Outcome, RequestArrival,
@@ -73,11 +73,14 @@
             Action::Reject { request } => {
                 let request = self.requests.get_mut(&request).expect("a known request");
                 check_rejection(request);
-                assert!(request.answer.replace(Answer::Rejected).is_none(), "a second final response");
+                assert!(
+                    request.outcome.replace(RequestOutcome::Rejected).is_none(),
+                    "a second final response"
+                );
             }
             Action::Fail { request } => {
                 let request = self.requests.get_mut(&request).expect("a known request");
-                assert!(request.answer.replace(Answer::Failed).is_none(), "a second final response");
+                assert!(request.outcome.replace(RequestOutcome::Failed).is_none(), "a second final response");
             }
             Action::CancelAttempt { request, attempt } => {
                 let number = attempt.0 as usize;
@@ -99,8 +102,8 @@
         let request = self.requests.get_mut(&request).expect("a known request");
         let listed = self.backends.get(&backend).expect("a listed backend");
         check_dispatch(&self.config, request, listed, self.now);
-        let (zone, cell, at) = (listed.zone, listed.cell, self.now);
-        request.attempts.push(Attempt { backend, zone, cell, at, outcome: None });
+        let (zone, cell, dispatched_at) = (listed.zone, listed.cell, self.now);
+        request.attempts.push(Attempt { backend, zone, cell, dispatched_at, outcome: None });
     }
 
     /// Passes an endpoint list update to the balancer.
@@ -152,7 +155,7 @@
             deadline: self.now + Micros(time_left_us),
             attempts: Vec::new(),
             is_streaming: false,
-            answer: None,
+            outcome: None,
         };
         self.requests.insert(id, tracked);
         self.handle(Event::RequestArrived(RequestArrival {
@@ -173,7 +176,8 @@
 
     /// Disconnects the client of a request.
     pub fn disconnect(&mut self, id: RequestId) {
-        self.requests.get_mut(&id).expect("a known request").answer = Some(Answer::ClientDisconnected);
+        self.requests.get_mut(&id).expect("a known request").outcome =
+            Some(RequestOutcome::ClientDisconnected);
         self.handle(Event::ClientDisconnected { request: id });
     }
 
@@ -193,17 +197,17 @@
     }
 
     /// Ends an attempt; does nothing if it is not in flight.
-    pub fn end(&mut self, id: RequestId, number: usize, outcome: Outcome) {
+    pub fn end_attempt(&mut self, id: RequestId, number: usize, outcome: Outcome) {
         let now = self.now;
         let Some(request) = self.requests.get_mut(&id) else { return };
         let in_flight = request.attempts.get_mut(number).filter(|attempt| attempt.outcome.is_none());
         let Some(attempt) = in_flight else { return };
         attempt.outcome = Some(outcome);
-        let latency = now - attempt.at;
-        if outcome == Outcome::Success && request.answer.is_none() {
-            request.answer = Some(Answer::Served);
+        let latency = now - attempt.dispatched_at;
+        if outcome == Outcome::Success && request.outcome.is_none() {
+            request.outcome = Some(RequestOutcome::Served);
         }
-        let answered = request.answer.is_some();
+        let answered = request.outcome.is_some();
         let attempt = AttemptNumber(number as u32);
         self.handle(Event::AttemptEnded(AttemptResult { request: id, attempt, outcome, latency, answered }));
     }
@@ -211,7 +215,7 @@
     /// Starts to stream the response to an attempt; does nothing if the attempt is not in flight or the
     /// request is not pending.
     pub fn start_stream(&mut self, id: RequestId, number: usize) {
-        let is_pending = |request: &&mut TrackedRequest| request.answer.is_none() && !request.is_streaming;
+        let is_pending = |request: &&mut TrackedRequest| request.outcome.is_none() && !request.is_streaming;
         let Some(request) = self.requests.get_mut(&id).filter(is_pending) else { return };
         if request.attempts.get(number).is_some_and(|attempt| attempt.outcome.is_none()) {
             request.is_streaming = true;
@@ -226,7 +230,7 @@
             self.now = (self.now + self.config.tick).min(end);
             self.fire_timers();
             for AttemptId { request, number } in std::mem::take(&mut self.cancelled) {
-                self.end(request, number, Outcome::Cancelled);
+                self.end_attempt(request, number, Outcome::Cancelled);
             }
             self.time_out_attempts();
             check_deadlines(&self.requests, self.now);
@@ -246,7 +250,7 @@
         for AttemptId { request: id, number } in self.in_flight() {
             let request = &self.requests[&id];
             if request.deadline <= self.now && !request.is_streaming {
-                self.end(id, number, Outcome::TimedOut);
+                self.end_attempt(id, number, Outcome::TimedOut);
             }
         }
     }
@@ -269,8 +273,8 @@
     }
 
     /// How a request ended; `None` while it is pending.
-    pub fn answer(&self, id: RequestId) -> Option<Answer> {
-        self.requests[&id].answer
+    pub fn outcome_of(&self, id: RequestId) -> Option<RequestOutcome> {
+        self.requests[&id].outcome
     }
 
     /// Advances the clock, then ends every attempt in flight with success.
@@ -283,7 +287,7 @@
     pub fn end_all(&mut self, mut outcome_of: impl FnMut(u32) -> Outcome) {
         for AttemptId { request, number } in self.in_flight() {
             let backend = self.dispatched_to(request)[number];
-            self.end(request, number, outcome_of(backend));
+            self.end_attempt(request, number, outcome_of(backend));
         }
     }
 
@@ -305,7 +309,7 @@
         let dispatched_to = host.dispatched_to(id);
         chosen.extend(&dispatched_to);
         host.advance(dispatched_to.first().map_or(5_000, |backend| duration_us(*backend)));
-        host.end(id, 0, Outcome::Success);
+        host.end_attempt(id, 0, Outcome::Success);
     }
     chosen
 }
--- a/tests/balancer/support/mod.rs
+++ b/tests/balancer/support/mod.rs
@@ -7,4 +7,4 @@
 
 pub use builders::{backend, backends, class, config_of, host};
 pub use host::{serve, Host};
-pub use tracked_request::{Answer, AttemptId, TrackedRequest};
+pub use tracked_request::{AttemptId, RequestOutcome, TrackedRequest};
--- a/tests/balancer/support/rules.rs
+++ b/tests/balancer/support/rules.rs
@@ -9,7 +9,7 @@
 
 /// Panics unless an attempt of the request may be dispatched to this backend now.
 pub fn check_dispatch(config: &Config, request: &TrackedRequest, backend: &Backend, now: Time) {
-    assert!(request.answer.is_none(), "an attempt was dispatched after the final response");
+    assert!(request.outcome.is_none(), "an attempt was dispatched after the final response");
     assert_eq!(
         backend.state,
         BackendState::Ready,
@@ -33,7 +33,10 @@
             panic!("a non-idempotent request was retried after it may have been executed")
         }
         Idempotency::Keyed { scope, window } => {
-            assert!(now <= earlier.at + window, "a keyed retry was dispatched after the idempotency window");
+            assert!(
+                now <= earlier.dispatched_at + window,
+                "a keyed retry was dispatched after the idempotency window"
+            );
             let is_in_scope = match scope {
                 IdempotencyScope::All => true,
                 IdempotencyScope::Zone => earlier.zone == backend.zone,
@@ -63,7 +66,7 @@
 /// Panics if a request is pending past its deadline.
 pub fn check_deadlines(requests: &BTreeMap<RequestId, TrackedRequest>, now: Time) {
     for (id, request) in requests {
-        let is_pending = request.answer.is_none() && !request.is_streaming;
+        let is_pending = request.outcome.is_none() && !request.is_streaming;
         assert!(
             !is_pending || now < request.deadline + RESPONSE_SLACK,
             "{id:?} has no final response in time"
--- a/tests/balancer/support/tracked_request.rs
+++ b/tests/balancer/support/tracked_request.rs
@@ -4,7 +4,7 @@
 
 /// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Answer {
+pub enum RequestOutcome {
     Served,
     Rejected,
     Failed,
@@ -17,7 +17,7 @@
     pub backend: BackendId,
     pub zone: ZoneId,
     pub cell: CellId,
-    pub at: Time,
+    pub dispatched_at: Time,
     /// `None` while it is in flight.
     pub outcome: Option<Outcome>,
 }
@@ -47,5 +47,5 @@
     pub deadline: Time,
     pub attempts: Vec<Attempt>,
     pub is_streaming: bool,
-    pub answer: Option<Answer>,
+    pub outcome: Option<RequestOutcome>,
 }
--- a/tests/proxy/backend_answers.rs
+++ b/tests/proxy/backend_responses.rs
@@ -1,7 +1,7 @@
 //! Failed, malformed, truncated and late responses of backends, and whether the request is retried.
 
 use crate::support::{
-    config, endpoint, ok_response, proxy_for, read_message, refusing_address, request, send_request,
+    config, endpoint, ok_response, read_message, refusing_address, request, send_request, start_proxy_for,
     wait_until, warm_up, Backend, Discovery, Message, ProxyProcess, Reply,
 };
 use std::io::{BufReader, Write};
@@ -33,7 +33,7 @@
         })
     };
     let (backend_a, backend_b) = (start(), start());
-    let (proxy, _discovery) = proxy_for(&[("a", &backend_a), ("b", &backend_b)]);
+    let (proxy, _discovery) = start_proxy_for(&[("a", &backend_a), ("b", &backend_b)]);
     warm_up(&proxy);
     let status = send_request(&proxy, &request(class, 7000)).status();
     let requests = [backend_a, backend_b].iter().flat_map(Backend::requests).collect::<Vec<_>>();
@@ -89,7 +89,7 @@
             ok_response("a")
         });
         let other = Backend::start(|_| ok_response("b"));
-        let (proxy, _discovery) = proxy_for(&[("a", &malformed_once), ("b", &other)]);
+        let (proxy, _discovery) = start_proxy_for(&[("a", &malformed_once), ("b", &other)]);
         warm_up(&proxy);
         wait_until("502 for a malformed response", || {
             send_request(&proxy, &request("pay", 7000)).status() == 502
--- a/tests/proxy/client_disconnects.rs
+++ b/tests/proxy/client_disconnects.rs
@@ -2,7 +2,7 @@
 //! of their requests, including retries and during shutdown.
 
 use crate::support::{
-    config, config_with_long_connect_timeout, endpoint, ok_response, proxy_for, request, send_request,
+    config, config_with_long_connect_timeout, endpoint, ok_response, request, send_request, start_proxy_for,
     wait_until, with_value, Backend, Client, Discovery, Message, ProxyProcess, Reply, SlowAcceptBackend,
 };
 use serde_json::json;
@@ -12,7 +12,7 @@
 #[test]
 fn the_attempt_of_a_disconnected_client_is_cancelled() {
     let backend = Backend::start(|_| Reply::NoResponse);
-    let (proxy, _discovery) = proxy_for(&[("a", &backend)]);
+    let (proxy, _discovery) = start_proxy_for(&[("a", &backend)]);
     let mut client = Client::open(proxy.address);
     client.send(&request("pay", 60_000));
     wait_until("the attempt", || backend.requests().len() == 1);
@@ -32,7 +32,7 @@
             false => ok_response("x"),
         };
         let backend = Backend::start(respond);
-        let (proxy, discovery) = proxy_for(&[("a", &backend)]);
+        let (proxy, discovery) = start_proxy_for(&[("a", &backend)]);
         let open_with_extra = || {
             let mut client = Client::open(proxy.address);
             client.send(&format!("{pay}{extra}"));
--- a/tests/proxy/unframed_responses.rs
+++ b/tests/proxy/close_delimited_responses.rs
@@ -1,7 +1,7 @@
 //! Close-delimited responses, which have no length and end with their connection.
 
 use crate::support::{
-    config, endpoint, ok_response, proxy_for, read_message, request, send_request, warm_up, Backend,
+    config, endpoint, ok_response, read_message, request, send_request, start_proxy_for, warm_up, Backend,
     Discovery, Message, ProxyProcess, Reply,
 };
 use std::io::Write;
@@ -119,7 +119,7 @@
             true => Reply::SendAndClose(format!("HTTP/1.1 200 OK\r\n\r\n{}", "x".repeat(length))),
             false => ok_response("x"),
         });
-        let (proxy, _discovery) = proxy_for(&[("a", &backend)]);
+        let (proxy, _discovery) = start_proxy_for(&[("a", &backend)]);
         warm_up(&proxy);
         let response = send_request(&proxy, &request("pay", 3000));
         assert_eq!(response.status(), status, "body of {length} bytes");
--- a/tests/proxy/connections.rs
+++ b/tests/proxy/connections.rs
@@ -1,8 +1,8 @@
 //! Connections to backends: reuse, closing, draining, and restarts of backends.
 
 use crate::support::{
-    config_with_long_connect_timeout, endpoint, ok_response, proxy_for, request, send_request, wait_until,
-    Backend, Client, Discovery, ProxyProcess, Reply, SlowAcceptBackend,
+    config_with_long_connect_timeout, endpoint, ok_response, request, send_request, start_proxy_for,
+    wait_until, Backend, Client, Discovery, ProxyProcess, Reply, SlowAcceptBackend,
 };
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
@@ -15,7 +15,7 @@
         true => Reply::SendAndClose("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx".into()),
         false => ok_response("x"),
     });
-    let (proxy, _discovery) = proxy_for(&[("a", &backend)]);
+    let (proxy, _discovery) = start_proxy_for(&[("a", &backend)]);
     assert_eq!(send_request(&proxy, &request("pay", 7000)).status(), 200);
     wait_until("pooled connection closed", || backend.closed_connections() == 1);
     assert_eq!(send_request(&proxy, &request("pay", 7000)).status(), 200);
@@ -31,7 +31,7 @@
         }
         ok_response("x")
     });
-    let (proxy, _discovery) = proxy_for(&[("a", &backend)]);
+    let (proxy, _discovery) = start_proxy_for(&[("a", &backend)]);
     let mut clients = [Client::open(proxy.address), Client::open(proxy.address)];
     for client in &mut clients {
         client.send(&request("read", 7000).replace("/a?", "/slow?"));
@@ -69,7 +69,7 @@
 #[test]
 fn a_restarted_backend_gets_new_connections() {
     let (old, new) = (Backend::start(|_| ok_response("old")), Backend::start(|_| ok_response("new")));
-    let (proxy, discovery) = proxy_for(&[("a", &old)]);
+    let (proxy, discovery) = start_proxy_for(&[("a", &old)]);
     assert_eq!(send_request(&proxy, &request("read", 7000)).body, b"old");
     discovery.publish_delta(&[endpoint("a", old.address, "ready", 1_700_000_000_000)]);
     wait_until("connection to the previous process closed", || old.closed_connections() == 1);
--- a/tests/proxy/deadlines.rs
+++ b/tests/proxy/deadlines.rs
@@ -1,7 +1,7 @@
 //! Final answers at or near the deadline of a request.
 
 use crate::support::{
-    config, config_with_long_connect_timeout, endpoint, ok_response, proxy_for, request, send_request,
+    config, config_with_long_connect_timeout, endpoint, ok_response, request, send_request, start_proxy_for,
     wait_until, warm_up, Backend, Client, Discovery, Message, ProxyProcess, Reply, SlowAcceptBackend,
 };
 use std::time::Duration;
@@ -10,7 +10,7 @@
 #[test]
 fn the_balancer_answers_every_request_at_its_deadline() {
     let backend = Backend::start(|_| Reply::NoResponse);
-    let (proxy, _discovery) = proxy_for(&[("a", &backend)]);
+    let (proxy, _discovery) = start_proxy_for(&[("a", &backend)]);
     assert_eq!(send_request(&proxy, &request("pay", 500)).status(), 502);
     wait_until("connection of the timed-out attempt closed", || backend.closed_connections() == 1);
     for time_left_ms in (0..16).cycle().take(160) {
--- a/tests/proxy/discovery_lists.rs
+++ b/tests/proxy/discovery_lists.rs
@@ -1,8 +1,8 @@
 //! Endpoint lists: which ones are applied, and when the proxy calls discovery.
 
 use crate::support::{
-    config, endpoint, ok_response, proxy_for, refusing_address, request, send_request, wait_until, Backend,
-    Discovery, ProxyProcess, Reply,
+    config, endpoint, ok_response, refusing_address, request, send_request, start_proxy_for, wait_until,
+    Backend, Discovery, ProxyProcess, Reply,
 };
 use serde_json::{json, Value};
 use std::time::{Duration, Instant};
@@ -11,7 +11,7 @@
 #[test]
 fn a_draining_or_removed_backend_receives_no_new_requests() {
     let (backend_a, backend_b) = (Backend::start(|_| ok_response("a")), Backend::start(|_| ok_response("b")));
-    let (proxy, discovery) = proxy_for(&[("a", &backend_a), ("b", &backend_b)]);
+    let (proxy, discovery) = start_proxy_for(&[("a", &backend_a), ("b", &backend_b)]);
     wait_until("both backends to serve a request", || {
         send_request(&proxy, &request("read", 7000));
         !backend_a.requests().is_empty() && !backend_b.requests().is_empty()
@@ -132,7 +132,7 @@
 #[test]
 fn an_unresponsive_agent_does_not_stop_the_watch() {
     let backend = Backend::start(|_| ok_response("x"));
-    let (proxy, discovery) = proxy_for(&[("a", &backend)]);
+    let (proxy, discovery) = start_proxy_for(&[("a", &backend)]);
     wait_until("a second call after the first has timed out", || discovery.call_count() >= 2);
     assert_eq!(send_request(&proxy, &request("read", 7000)).status(), 200);
     assert_eq!(proxy.readiness_status(), 200);
@@ -143,7 +143,7 @@
 #[test]
 fn a_lost_call_for_a_pushed_list_is_repeated_in_time() {
     let backend = Backend::start(|_| ok_response("x"));
-    let (_proxy, discovery) = proxy_for(&[("a", &backend)]);
+    let (_proxy, discovery) = start_proxy_for(&[("a", &backend)]);
     wait_until("the watch", || discovery.call_count() > 0);
     for reply in [Reply::NoResponse, Reply::SendAndClose(String::new()), Reply::NoResponse, Reply::NoResponse]
     {
@@ -199,7 +199,7 @@
 fn memory_does_not_grow_as_backends_and_kinds_are_replaced() {
     const RELEASES: usize = 1500;
     let backend = Backend::start(|_| ok_response("x"));
-    let (proxy, discovery) = proxy_for(&[("a", &backend)]);
+    let (proxy, discovery) = start_proxy_for(&[("a", &backend)]);
     let mut early = 0;
     for release in 0..RELEASES {
         let mut endpoints = vec![endpoint("a", backend.address, "ready", 0)];
--- a/tests/proxy/forwarding.rs
+++ b/tests/proxy/forwarding.rs
@@ -1,12 +1,12 @@
 //! Forwarding of requests to backends and of responses to clients.
 
-use crate::support::{ok_response, proxy_for, request, send_request, Backend};
+use crate::support::{ok_response, request, send_request, start_proxy_for, Backend};
 
 /// Guards against the proxy altering a request or its response.
 #[test]
 fn requests_and_responses_are_forwarded_unchanged() {
     let backend = Backend::start(|_| ok_response("the answer"));
-    let (proxy, _discovery) = proxy_for(&[("a", &backend)]);
+    let (proxy, _discovery) = start_proxy_for(&[("a", &backend)]);
     let response = send_request(&proxy, &request("vote", 7000));
     assert_eq!((response.status(), response.body), (200, b"the answer".to_vec()));
     let [received] = &backend.requests()[..] else { panic!("expected exactly one attempt") };
--- a/tests/proxy/graceful_shutdown.rs
+++ b/tests/proxy/graceful_shutdown.rs
@@ -1,8 +1,8 @@
 //! Graceful shutdown on SIGTERM: every pending request is answered before the process is killed.
 
 use crate::support::{
-    config, endpoint, ok_response, proxy_for, request, wait_until, Backend, Client, Discovery, ProxyProcess,
-    Reply,
+    config, endpoint, ok_response, request, start_proxy_for, wait_until, Backend, Client, Discovery,
+    ProxyProcess, Reply,
 };
 use serde_json::json;
 use std::time::{Duration, Instant};
@@ -16,7 +16,7 @@
         }
         ok_response("x")
     });
-    let (mut proxy, _discovery) = proxy_for(&[("a", &backend)]);
+    let (mut proxy, _discovery) = start_proxy_for(&[("a", &backend)]);
     let mut idle_client = Client::open(proxy.address);
     idle_client.send(&request("read", 7000));
     assert_eq!(idle_client.read_response().map(|response| response.status()), Some(200));
@@ -106,7 +106,7 @@
 #[test]
 fn sigterm_waits_for_the_rest_of_a_partially_received_request() {
     let backend = Backend::start(|_| ok_response("x"));
-    let (mut proxy, _discovery) = proxy_for(&[("a", &backend)]);
+    let (mut proxy, _discovery) = start_proxy_for(&[("a", &backend)]);
     let pay = request("pay", 7000);
     for cut in [5, pay.len() - 2] {
         let mut client = Client::open(proxy.address);
@@ -122,7 +122,7 @@
         let is_body_late = cut > 5 && response.status() == 408;
         assert!(response.status() == 200 || is_body_late, "{response:?}");
         assert!(proxy.wait_for_exit().success());
-        proxy = proxy_for(&[("a", &backend)]).0;
+        proxy = start_proxy_for(&[("a", &backend)]).0;
     }
 }
 
@@ -130,7 +130,7 @@
 #[test]
 fn sigterm_waits_for_the_first_request_of_a_connection() {
     let backend = Backend::start(|_| ok_response("x"));
-    let (mut proxy, _discovery) = proxy_for(&[("a", &backend)]);
+    let (mut proxy, _discovery) = start_proxy_for(&[("a", &backend)]);
     let mut new_client = Client::open(proxy.address);
     proxy.terminate();
     wait_until("the listener to close", || proxy.readiness_status() == 0);
--- a/tests/proxy/logging.rs
+++ b/tests/proxy/logging.rs
@@ -1,7 +1,7 @@
 //! The log of requests and their attempts.
 
 use crate::support::{
-    ok_response, proxy_for, request, send_request, wait_until, Backend, Client, Message, Reply,
+    ok_response, request, send_request, start_proxy_for, wait_until, Backend, Client, Message, Reply,
 };
 
 /// Guards against log events of a request or its attempts that lack the client's correlation id.
@@ -12,7 +12,7 @@
         false => ok_response("x"),
     };
     let backend = Backend::start(respond);
-    let (proxy, _discovery) = proxy_for(&[("a", &backend)]);
+    let (proxy, _discovery) = start_proxy_for(&[("a", &backend)]);
     let status_of = |class: &str, time_left_ms: u64, id: &str| {
         let text = request(class, time_left_ms).replace("9b1f03aa5c7e2d41", id);
         send_request(&proxy, &text).status()
--- a/tests/proxy/main.rs
+++ b/tests/proxy/main.rs
@@ -1,9 +1,10 @@
 //! End-to-end tests of the proxy binary over loopback sockets, with well-behaved and faulty clients, backends
 //! and discovery services.
 
-mod backend_answers;
+mod backend_responses;
 mod capacity;
 mod client_disconnects;
+mod close_delimited_responses;
 mod configuration;
 mod connections;
 mod deadlines;
@@ -20,5 +21,4 @@
 mod soak;
 mod support;
 mod time_left;
-mod unframed_responses;
 mod wall_clock;
--- a/tests/proxy/malformed_requests.rs
+++ b/tests/proxy/malformed_requests.rs
@@ -1,13 +1,13 @@
 //! Requests that are malformed, pipelined or too long.
 
-use crate::support::{ok_response, proxy_for, request, send_request, Backend, Client};
+use crate::support::{ok_response, request, send_request, start_proxy_for, Backend, Client};
 use std::time::Duration;
 
 /// Guards against malformed requests that are forwarded or crash the proxy.
 #[test]
 fn malformed_requests_are_rejected_and_not_forwarded() {
     let backend = Backend::start(|_| ok_response("x"));
-    let (proxy, _discovery) = proxy_for(&[("a", &backend)]);
+    let (proxy, _discovery) = start_proxy_for(&[("a", &backend)]);
     let (read, pay) = (request("read", 7000), request("pay", 7000));
     let too_long = "x".repeat((64 << 10) + 1);
     let cases = [
@@ -43,7 +43,7 @@
 #[test]
 fn unread_bytes_do_not_destroy_the_response() {
     let backend = Backend::start(|_| ok_response("x"));
-    let (proxy, _discovery) = proxy_for(&[("a", &backend)]);
+    let (proxy, _discovery) = start_proxy_for(&[("a", &backend)]);
     let (read, pay, extra) = (request("read", 7000), request("pay", 7000), "x".repeat(200_000));
     let length = format!("Content-Length: {}", extra.len());
     // On a connection that stays open, the extra bytes are an incomplete request with a response of its own.
@@ -79,7 +79,7 @@
     let backend = Backend::start(|message| {
         ok_response(if message.start_line.contains("/vote/") { "vote" } else { "read" })
     });
-    let (proxy, _discovery) = proxy_for(&[("a", &backend)]);
+    let (proxy, _discovery) = start_proxy_for(&[("a", &backend)]);
     let (read, vote) = (request("read", 7000), request("vote", 7000));
     let mut client = Client::open(proxy.address);
     client.send(&[&read[..], &vote, &read, &vote[..vote.len() - 2]].concat());
--- a/tests/proxy/slow_clients.rs
+++ b/tests/proxy/slow_clients.rs
@@ -1,7 +1,7 @@
 //! Clients that send their requests slowly, and peers that never send a complete request.
 
 use crate::support::{
-    config, endpoint, ok_response, proxy_for, request, Backend, Client, Discovery, ProxyProcess,
+    config, endpoint, ok_response, request, start_proxy_for, Backend, Client, Discovery, ProxyProcess,
 };
 use serde_json::json;
 use std::time::{Duration, Instant};
@@ -48,7 +48,7 @@
 fn a_request_that_begins_on_an_idle_connection_is_answered() {
     let run = |(served_before, idle_ms): (bool, u64)| {
         let backend = Backend::start(|_| ok_response("x"));
-        let (proxy, _discovery) = proxy_for(&[("a", &backend)]);
+        let (proxy, _discovery) = start_proxy_for(&[("a", &backend)]);
         let mut client = open(&proxy, served_before);
         sleep_ms(idle_ms);
         send_slowly(&mut client, &request("pay", 7000), 30, 350);
@@ -69,7 +69,7 @@
 fn a_slow_body_is_awaited() {
     let run = |(served_before, body_delay_ms): (bool, u64)| {
         let backend = Backend::start(|_| ok_response("x"));
-        let (proxy, _discovery) = proxy_for(&[("a", &backend)]);
+        let (proxy, _discovery) = start_proxy_for(&[("a", &backend)]);
         let mut client = open(&proxy, served_before);
         let text = request("pay", 1800);
         send_slowly(&mut client, &text, text.len() - 2, body_delay_ms);
@@ -130,7 +130,7 @@
 fn a_peer_with_an_incomplete_request_is_closed_within_3_s() {
     let run = |stalled_peer: StalledPeer| {
         let backend = Backend::start(|_| ok_response("x"));
-        let (proxy, _discovery) = proxy_for(&[("a", &backend)]);
+        let (proxy, _discovery) = start_proxy_for(&[("a", &backend)]);
         time_to_close(stalled_peer, &proxy)
     };
     for (case, after) in run_concurrently(&STALLED_PEERS, run) {
@@ -166,7 +166,7 @@
 fn an_incomplete_request_is_answered_before_the_process_exits() {
     for StalledPeer { text, .. } in STALLED_PEERS.iter().filter(|peer| !peer.text.is_empty()) {
         let backend = Backend::start(|_| ok_response("x"));
-        let (mut proxy, _discovery) = proxy_for(&[("a", &backend)]);
+        let (mut proxy, _discovery) = start_proxy_for(&[("a", &backend)]);
         let mut peer = Client::open(proxy.address);
         sleep_ms(300);
         proxy.terminate();
@@ -181,7 +181,7 @@
 #[test]
 fn a_peer_that_sends_60_mb_is_closed_within_6_s() {
     let backend = Backend::start(|_| ok_response("x"));
-    let (proxy, _discovery) = proxy_for(&[("a", &backend)]);
+    let (proxy, _discovery) = start_proxy_for(&[("a", &backend)]);
     let long_text = "x".repeat(60_000_000);
     let length = format!("Content-Length: {}", long_text.len());
     let texts = [
--- a/tests/proxy/soak/faults.rs
+++ b/tests/proxy/soak/faults.rs
@@ -81,7 +81,7 @@
                 }
             }
             4 => drop(self.proxy.stall(Duration::from_millis(20 + below(random, 120)), || {})),
-            5 => self.faults.step_clock([0, 5, -5, 3600, -3600][below(random, 5) as usize]),
+            5 => self.faults.set_clock_offset([0, 5, -5, 3600, -3600][below(random, 5) as usize]),
             6 => self.faults.fail_accepts([0, 5, 50][below(random, 3) as usize]),
             7 => self.faults.fail_connects([0, 5, 30][below(random, 3) as usize]),
             _ => {
--- a/tests/proxy/support/faults.rs
+++ b/tests/proxy/support/faults.rs
@@ -38,7 +38,7 @@
     }
 
     /// Sets the offset of the proxy's wall clock from the correct time.
-    pub fn step_clock(&self, seconds: i64) {
+    pub fn set_clock_offset(&self, seconds: i64) {
         self.set(CLOCK_OFFSET, seconds * 1_000_000);
     }
 
--- a/tests/proxy/support/mod.rs
+++ b/tests/proxy/support/mod.rs
@@ -17,7 +17,7 @@
 pub use discovery::Discovery;
 pub use faults::Faults;
 pub use http::{ok_response, read_message, request, Message, Reply};
-pub use proxy_process::{proxy_for, ProxyProcess};
+pub use proxy_process::{start_proxy_for, ProxyProcess};
 pub use reserved_port::{refusing_address, ReservedPort};
 pub use settings::{
     config, config_with_long_connect_timeout, endpoint, ready_endpoints, settings, with_value,
--- a/tests/proxy/support/proxy_process.rs
+++ b/tests/proxy/support/proxy_process.rs
@@ -185,7 +185,7 @@
 }
 
 /// Starts a proxy whose cached list contains these backends, by name; returns it with its discovery service.
-pub fn proxy_for(backends: &[(&str, &Backend)]) -> (ProxyProcess, Discovery) {
+pub fn start_proxy_for(backends: &[(&str, &Backend)]) -> (ProxyProcess, Discovery) {
     let discovery = Discovery::start();
     let endpoint_of = |(name, backend): &(&str, &Backend)| endpoint(name, backend.address, "ready", 0);
     let endpoints: Vec<Value> = backends.iter().map(endpoint_of).collect();
--- a/tests/proxy/time_left.rs
+++ b/tests/proxy/time_left.rs
@@ -1,7 +1,7 @@
 //! The time left that a backend receives exceeds the client's actual time left by at most 0.15 s.
 
 use crate::support::{
-    config, endpoint, ok_response, proxy_for, request, Backend, Client, Discovery, ProxyProcess,
+    config, endpoint, ok_response, request, start_proxy_for, Backend, Client, Discovery, ProxyProcess,
 };
 use serde_json::json;
 use std::sync::{Arc, Mutex};
@@ -45,7 +45,7 @@
 /// that was idle for `idle_ms` before.
 fn excess_after_stall(class: &str, time_left_ms: u64, idle_ms: u64) -> i64 {
     let (backend, last) = start_recording_backend();
-    let (proxy, _discovery) = proxy_for(&[("a", &backend)]);
+    let (proxy, _discovery) = start_proxy_for(&[("a", &backend)]);
     let mut client = Client::open(proxy.address);
     client.send(&request("read", 7000));
     client.read_response().unwrap();
--- a/tests/proxy/wall_clock.rs
+++ b/tests/proxy/wall_clock.rs
@@ -73,7 +73,7 @@
     for is_snapshot in [false, true] {
         for offset in OFFSETS {
             let (fleet, faults) = (Fleet::start(), Faults::none());
-            faults.step_clock(offset);
+            faults.set_clock_offset(offset);
             let proxy = ProxyProcess::spawn_with_faults(&faults, &fleet.config(&fleet.warm_endpoints(0)));
             wait_until("ready", || proxy.readiness_status() == 200);
             share_sent_to(&proxy, &fleet.warming);
@@ -100,7 +100,7 @@
     for offset in OFFSETS {
         for cached in ["lacking", "contained", "previous process"] {
             let (fleet, faults) = (Fleet::start(), Faults::none());
-            faults.step_clock(offset);
+            faults.set_clock_offset(offset);
             let started = unix_ms_before_now(Duration::from_millis(500));
             let mut endpoints = fleet.warm_endpoints(0);
             endpoints.push(fleet.warming_endpoint(started));
@@ -123,7 +123,7 @@
 fn a_long_running_backend_is_warm_whatever_the_wall_clock_says() {
     for offset in OFFSETS {
         let (fleet, faults) = (Fleet::start(), Faults::none());
-        faults.step_clock(offset);
+        faults.set_clock_offset(offset);
         let mut endpoints = fleet.warm_endpoints(unix_ms_before_now(Duration::from_secs(600)));
         endpoints.push(fleet.warming_endpoint(unix_ms_before_now(Duration::from_secs(60))));
         let proxy = ProxyProcess::spawn_with_faults(&faults, &fleet.config(&endpoints));
