--- a/src/bin/load-balancer-proxy/dispatcher/recovery.rs
+++ b/src/bin/load-balancer-proxy/dispatcher/recovery.rs
@@ -9,7 +9,7 @@
     /// new balancer starts with the current endpoint list. The panic itself has been logged by the panic
     /// hook.
     pub(super) fn restart_balancer(&mut self) {
-        tracing::error!(failed_requests = self.requests.len(), "balancer panicked, starting anew");
+        tracing::error!(failed_requests = self.requests.len(), "balancer panicked, restarting it");
         self.seed = self.seed.wrapping_add(1); // the same seed could lead to the same panic
         match Balancer::new(self.settings.balancer.clone(), self.seed) {
             Ok(balancer) => self.balancer = balancer,
--- a/src/bin/load-balancer-proxy/server/graceful_shutdown.rs
+++ b/src/bin/load-balancer-proxy/server/graceful_shutdown.rs
@@ -40,7 +40,9 @@
     /// Serves the queued and open connections until all are closed or the deadline passes, and then answers
     /// the incomplete requests with 408.
     pub(super) async fn finish_shutdown(self: &Rc<Self>, acceptor: Acceptor, deadline: Time) {
-        let queue = acceptor.into_queue().inspect_err(|error| tracing::error!(%error, "listen queue lost"));
+        let queue = acceptor
+            .into_queue()
+            .inspect_err(|error| tracing::error!(%error, "cannot take over the listen queue"));
         let mut queue = queue.ok();
         let deadline = self.clock.instant(deadline);
         if tokio::time::timeout_at(deadline, self.drain(&mut queue)).await.is_ok() {
--- a/src/bin/load-balancer-proxy/server/request_error.rs
+++ b/src/bin/load-balancer-proxy/server/request_error.rs
@@ -8,41 +8,41 @@
 #[derive(Clone, Copy, Debug, Error, PartialEq)]
 pub(super) enum RequestError {
     /// The class header is missing or not plain text.
-    #[error("expected X-Service-Class")]
+    #[error("missing or invalid header X-Service-Class")]
     MissingClass,
     /// The settings do not define the class.
     #[error("X-Service-Class: unknown class")]
     UnknownClass,
     /// The first segment of the path is not the class.
-    #[error("expected the class as the first part of the path")]
+    #[error("the first path segment must be the class in X-Service-Class")]
     PathClassMismatch,
     /// The method, body or idempotency key is not allowed for the class.
-    #[error("the method, the body or Idempotency-Key does not fit the class")]
+    #[error("method, body or Idempotency-Key not allowed for this class")]
     NotAllowedForClass,
     /// The correlation id is missing.
-    #[error("expected X-Correlation-Id")]
+    #[error("missing header X-Correlation-Id")]
     MissingCorrelationId,
     /// The tenant header is missing or not plain text, and the settings define tenants.
-    #[error("expected X-Account")]
+    #[error("missing or invalid header X-Account")]
     MissingTenant,
     /// The settings do not define the tenant.
     #[error("X-Account: unknown tenant")]
     UnknownTenant,
     /// The remaining time is missing.
-    #[error("expected X-Time-Left-Ms")]
+    #[error("missing header X-Time-Left-Ms")]
     MissingTimeLeft,
     /// A numeric header is not a whole number.
-    #[error("expected a whole number in X-Time-Left-Ms and X-Weight-Hint")]
+    #[error("X-Time-Left-Ms and X-Weight-Hint must be whole numbers")]
     InvalidNumber,
     /// The body is longer than [`MAX_BODY_BYTES`](crate::headers::MAX_BODY_BYTES).
-    #[error("the body is over 64 KiB")]
+    #[error("request body exceeds 64 KiB")]
     BodyTooLarge,
     /// The body is malformed or truncated.
-    #[error("the body is broken")]
+    #[error("request body malformed or truncated")]
     InvalidBody,
     /// The body was not complete before its deadline, or before the connection was closed at capacity or
     /// during shutdown.
-    #[error("the body did not come in time")]
+    #[error("request body not received in time")]
     BodyIncomplete,
 }
 
