--- a/scale/src/balancer_point/host.rs
+++ b/scale/src/balancer_point/host.rs
@@ -15,7 +15,7 @@
 /// Initial time of the virtual clock.
 const START_TIME: Time = Time(1_000_000_000);
 
-/// A request that has no final answer yet, or has attempts in flight.
+/// A request that has no final response yet, or has attempts in flight.
 #[derive(Default)]
 struct OpenRequest {
     attempt_count: u32,
@@ -149,7 +149,7 @@
         }));
     }
 
-    /// Records the final answer to a request, and removes the request if no attempt is in flight.
+    /// Records the final response to a request, and removes the request if no attempt is in flight.
     fn mark_answered(&mut self, request: RequestId) {
         let Some(open) = self.requests.get_mut(&request) else { return };
         open.is_answered = true;
--- a/scale/src/simulated_proxy/context.rs
+++ b/scale/src/simulated_proxy/context.rs
@@ -20,7 +20,7 @@
         /// End of the arrivals.
         until: Instant,
     },
-    /// End once every request has its final answer.
+    /// End once every request has its final response.
     Shutdown,
 }
 
--- a/scale/src/simulated_proxy/counters.rs
+++ b/scale/src/simulated_proxy/counters.rs
@@ -15,14 +15,14 @@
     pub rejected: u64,
     /// Requests that the balancer failed.
     pub failed: u64,
-    /// Requests without a final answer by the end of the grace period after their deadline.
+    /// Requests without a final response by the end of the grace period after their deadline.
     pub unanswered: u64,
-    /// Rejections and failures of requests that already had a final answer.
+    /// Rejections and failures of requests that already had a final response.
     pub duplicate_answers: u64,
     /// Requests that arrived at proxies that were not ready, and were dropped. A platform would not route
     /// requests to these proxies.
     pub arrived_before_ready: u64,
-    /// Requests that had no final answer when their proxy was restarted.
+    /// Requests that had no final response when their proxy was restarted.
     pub dropped_at_restart: u64,
     /// Attempts dispatched to backends.
     pub attempts: u64,
--- a/scale/src/simulated_proxy/fleet.rs
+++ b/scale/src/simulated_proxy/fleet.rs
@@ -77,7 +77,7 @@
         self.activity.send_replace(ProxyActivity::Load { until: Instant::now() + duration });
     }
 
-    /// Ends each proxy once every request has its final answer; returns immediately.
+    /// Ends each proxy once every request has its final response; returns immediately.
     pub fn shut_down(&self) {
         self.activity.send_replace(ProxyActivity::Shutdown);
     }
--- a/scale/src/simulated_proxy/proxy/deadlines.rs
+++ b/scale/src/simulated_proxy/proxy/deadlines.rs
@@ -3,7 +3,7 @@
 use super::Proxy;
 use load_balancer::{AttemptNumber, Event, Micros, Outcome, RequestId, Time};
 
-/// Grace period after a request's deadline, in ticks. A request without a final answer by its end counts as
+/// Grace period after a request's deadline, in ticks. A request without a final response by its end counts as
 /// unanswered.
 const GRACE_TICKS: u64 = 4;
 
--- a/scale/src/simulated_proxy/proxy/decisions.rs
+++ b/scale/src/simulated_proxy/proxy/decisions.rs
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Counts a final answer of the balancer, or a duplicate if the request already has one.
+    /// Counts a final response of the balancer, or a duplicate if the request already has one.
     fn record_answer(&mut self, request: RequestId, count: impl FnOnce(&mut ProxyCounters)) {
         let Some(open) = self.requests.get_mut(&request) else { return };
         let mut counters = self.context.counters.lock();
--- a/scale/src/simulated_proxy/proxy/mod.rs
+++ b/scale/src/simulated_proxy/proxy/mod.rs
@@ -34,7 +34,7 @@
     attempt_count: u32,
     /// Dispatch time of each attempt in flight.
     in_flight: HashMap<AttemptNumber, Time>,
-    /// Whether the request has its final answer.
+    /// Whether the request has its final response.
     is_answered: bool,
 }
 
@@ -97,7 +97,7 @@
         })
     }
 
-    /// Runs until the fleet shuts down and every request has its final answer.
+    /// Runs until the fleet shuts down and every request has its final response.
     pub async fn run(mut self) {
         let mut activity = self.context.activity.clone();
         let mut restarts = self.context.restarts.clone();
--- a/src/action.rs
+++ b/src/action.rs
@@ -22,12 +22,12 @@
         /// and the attempt ends as [`Outcome::NotSent`]. `None` sets no limit.
         write_by: Option<Time>,
     },
-    /// Rejects the request, which is its final answer: the client may safely retry it.
+    /// Rejects the request, which is its final response: the client may safely retry it.
     Reject {
         /// The request.
         request: RequestId,
     },
-    /// Fails the request, which is its final answer: it may have been executed.
+    /// Fails the request, which is its final response: it may have been executed.
     Fail {
         /// The request.
         request: RequestId,
--- a/src/balancer/outlier_detection.rs
+++ b/src/balancer/outlier_detection.rs
@@ -10,8 +10,8 @@
 use crate::random::Random;
 use crate::units::{BackendId, Micros, Time};
 
-/// Successes after an ejection for error answers that end the probation. A backend that answers every fourth
-/// request with an error is likely to be ejected again before that.
+/// Successes after an ejection for error responses that end the probation. A backend that answers every
+/// fourth request with an error is likely to be ejected again before that.
 const PROBATION_SUCCESSES: u32 = 10;
 /// Minimum error rate at which a backend is ejected; two errors in close succession exceed it.
 const MIN_EJECTION_ERROR_RATE: f64 = 0.3;
@@ -63,7 +63,7 @@
         self.is_unresponsive
     }
 
-    /// Whether the backend has answered after `time`. An answer at exactly `time` may belong to an earlier
+    /// Whether the backend has answered after `time`. A response at exactly `time` may belong to an earlier
     /// request and does not count.
     pub fn has_responded_since(&self, time: Time) -> bool {
         self.last_response > time
--- a/src/balancer/service_rate_estimation.rs
+++ b/src/balancer/service_rate_estimation.rs
@@ -14,7 +14,7 @@
 /// Time constant of the estimates. The service rate changes rarely, while the traffic from which it is
 /// computed changes constantly.
 const SERVICE_RATE_TIME_CONSTANT: Micros = Micros(10_000_000);
-/// A latency is clipped at this multiple of its kind's mean, so that a few late answers of outliers do not
+/// A latency is clipped at this multiple of its kind's mean, so that a few late responses of outliers do not
 /// lower the estimate of the whole kind.
 const MAX_LATENCY_MULTIPLE: f64 = 3.0;
 /// Number of samples from which on the service rate is smoothed. Also the weight of the latency prior, in
@@ -32,7 +32,7 @@
 /// Estimates of the service rate and latency of the backends of one kind.
 #[derive(Default)]
 pub(super) struct KindServiceRate {
-    /// Mean latency of served requests, in seconds from dispatch to answer, scaled to mean work.
+    /// Mean latency of served requests, in seconds from dispatch to response, scaled to mean work.
     latency: RunningMean,
     /// Smoothed arrival rate of one ready backend, in requests per second. Updated only while the kind's
     /// backends are representative.
--- a/src/balancer/subscription.rs
+++ b/src/balancer/subscription.rs
@@ -12,14 +12,14 @@
 /// The first calls after a loss are spread over this time multiplied by the number of proxies.
 const SPREAD_PER_PROXY: Micros = Micros(50_000);
 /// Maximum backoff before a call after a loss. The platform counts a proxy as notified 6 s after discovery is
-/// reachable again; the other half of that is for the queue at discovery, its answer, and a second call if
+/// reachable again; the other half of that is for the queue at discovery, its response, and a second call if
 /// the first is rejected.
 const MAX_BACKOFF: Micros = Micros(3_000_000);
 /// Maximum backoff as a fraction of the poll interval, for short poll intervals.
 const MAX_BACKOFF_FRACTION: f64 = 1.0 / 2.0;
 /// Fraction of the poll interval up to which the backoff doubles.
 const DOUBLING_LIMIT_FRACTION: f64 = 1.0 / 8.0;
-/// Fraction of the poll interval after which a call without an answer is made again.
+/// Fraction of the poll interval after which a call without a response is made again.
 const CALL_TIMEOUT_FRACTION: f64 = 0.5;
 
 /// Schedules calls to discovery. None is scheduled while a subscription is established or the list is pushed.
--- a/src/bin/load-balancer-proxy/dispatcher/actions.rs
+++ b/src/bin/load-balancer-proxy/dispatcher/actions.rs
@@ -3,7 +3,7 @@
 use super::attempt_report::AttemptReport;
 use super::request_table::AttemptTask;
 use super::{log, Dispatcher};
-use crate::messages::FinalAnswer;
+use crate::messages::FinalResponse;
 use crate::upstream::AttemptLimits;
 use load_balancer::{Action, BackendId, Micros, Outcome, RequestId, Time};
 
@@ -14,9 +14,9 @@
             Action::Dispatch { request, backend, write_by } => self.dispatch(now, request, backend, write_by),
             Action::Reject { request } => {
                 let retry_after = self.balancer.retry_after();
-                self.answer(request, FinalAnswer::Rejected { retry_after });
+                self.answer(request, FinalResponse::Rejected { retry_after });
             }
-            Action::Fail { request } => self.answer(request, FinalAnswer::Failed),
+            Action::Fail { request } => self.answer(request, FinalResponse::Failed),
             Action::CancelAttempt { request, attempt } => {
                 self.end_attempt(now, request, attempt, Outcome::Cancelled.into());
             }
@@ -26,10 +26,10 @@
         }
     }
 
-    /// Sends the final answer to a request's client if the request is still pending.
-    pub(super) fn answer(&mut self, id: RequestId, answer: FinalAnswer) {
+    /// Sends the final response to a request's client if the request is still pending.
+    pub(super) fn answer(&mut self, id: RequestId, response: FinalResponse) {
         if let Some(request) = self.requests.get_mut(id) {
-            request.answer(answer);
+            request.answer(response);
         }
         self.requests.mark_if_finished(id);
     }
--- a/src/bin/load-balancer-proxy/dispatcher/deadlines.rs
+++ b/src/bin/load-balancer-proxy/dispatcher/deadlines.rs
@@ -2,7 +2,7 @@
 //! not answered shortly after its deadline is failed.
 
 use super::Dispatcher;
-use crate::messages::FinalAnswer;
+use crate::messages::FinalResponse;
 use load_balancer::{Event, Micros, Outcome, RequestId, Time};
 use std::collections::{BTreeSet, VecDeque};
 
@@ -112,9 +112,9 @@
         while let Some(id) = self.deadlines.pop_overdue(now) {
             if self.requests.get(id).is_some_and(|request| !request.is_answered()) {
                 tracing::error!(request = id.0, "request unanswered at its deadline");
-                // Tells the balancer that the request no longer needs an answer.
+                // Tells the balancer that the request no longer needs a response.
                 self.events.push(Event::ClientDisconnected { request: id });
-                self.answer(id, FinalAnswer::Failed);
+                self.answer(id, FinalResponse::Failed);
             }
         }
     }
--- a/src/bin/load-balancer-proxy/dispatcher/message_handling.rs
+++ b/src/bin/load-balancer-proxy/dispatcher/message_handling.rs
@@ -4,7 +4,7 @@
 use super::deadlines::Deadline;
 use super::request_table::OpenRequest;
 use super::Dispatcher;
-use crate::messages::{DispatcherMessage, FinalAnswer, ReceivedRequest, SettingsReplacement};
+use crate::messages::{DispatcherMessage, FinalResponse, ReceivedRequest, SettingsReplacement};
 use crate::upstream::UpstreamResult;
 use load_balancer::wire::endpoint_list::Endpoint;
 use load_balancer::{AttemptNumber, EndpointListUpdate, Event, RequestArrival, RequestId, Time};
@@ -31,7 +31,7 @@
         if self.requests.len() >= self.settings.max_open_requests {
             // Rejected without involving the balancer.
             let retry_after = self.balancer.retry_after();
-            let _ = received.answer.send(FinalAnswer::Rejected { retry_after });
+            let _ = received.response.send(FinalResponse::Rejected { retry_after });
             return;
         }
         let deadline = self.deadlines.limit(received.deadline);
@@ -48,7 +48,7 @@
             id: received.id,
             deadline,
             upstream_request: received.upstream_request,
-            reply: Some(received.answer),
+            reply: Some(received.response),
             attempts: HashMap::new(),
             dispatch_count: 0,
         });
@@ -71,7 +71,7 @@
         let Some(attempt) = request.attempts.remove(&number) else { return };
         attempt.task.abort();
         if let Some(response) = result.response {
-            request.answer(FinalAnswer::Served(response));
+            request.answer(FinalResponse::Served(response));
         }
         let ended = request.attempt_ended(number, result.outcome, now - attempt.sent_at);
         self.events.push(ended);
--- a/src/bin/load-balancer-proxy/dispatcher/recovery.rs
+++ b/src/bin/load-balancer-proxy/dispatcher/recovery.rs
@@ -1,7 +1,7 @@
 //! Recovery from a panic of the balancer, which is replaced by a new instance.
 
 use super::Dispatcher;
-use crate::messages::FinalAnswer;
+use crate::messages::FinalResponse;
 use load_balancer::{Balancer, EndpointListUpdate, Event};
 
 impl Dispatcher {
@@ -29,7 +29,7 @@
             for attempt in request.attempts.values() {
                 attempt.task.abort();
             }
-            request.answer(FinalAnswer::Failed);
+            request.answer(FinalResponse::Failed);
         }
         self.deadlines.clear();
     }
--- a/src/bin/load-balancer-proxy/dispatcher/request_table.rs
+++ b/src/bin/load-balancer-proxy/dispatcher/request_table.rs
@@ -2,7 +2,7 @@
 
 use super::deadlines::{Deadline, Deadlines};
 use super::log;
-use crate::messages::FinalAnswer;
+use crate::messages::FinalResponse;
 use crate::upstream::UpstreamRequest;
 use load_balancer::{AttemptNumber, AttemptResult, Event, Micros, Outcome, RequestId, Time};
 use std::collections::HashMap;
@@ -21,15 +21,15 @@
     pub id: RequestId,
     pub deadline: Time,
     pub upstream_request: Rc<UpstreamRequest>,
-    /// Sender of the final answer; `None` once the answer has been sent or the client has disconnected.
-    pub reply: Option<oneshot::Sender<FinalAnswer>>,
+    /// Sender of the final response; `None` once it has been sent or the client has disconnected.
+    pub reply: Option<oneshot::Sender<FinalResponse>>,
     pub attempts: HashMap<AttemptNumber, AttemptTask>,
     /// Number of attempts that the balancer has requested so far.
     pub dispatch_count: u32,
 }
 
 impl OpenRequest {
-    /// Returns whether the final answer has been sent or the client has disconnected.
+    /// Returns whether the final response has been sent or the client has disconnected.
     pub fn is_answered(&self) -> bool {
         self.reply.is_none()
     }
@@ -39,16 +39,16 @@
         self.is_answered() && self.attempts.is_empty()
     }
 
-    /// Marks the request as answered and returns the sender of the answer if the request was still pending.
-    pub fn take_reply(&mut self) -> Option<oneshot::Sender<FinalAnswer>> {
+    /// Marks the request as answered and returns the sender of the response if the request was still pending.
+    pub fn take_reply(&mut self) -> Option<oneshot::Sender<FinalResponse>> {
         self.upstream_request.mark_answered();
         self.reply.take()
     }
 
-    /// Sends the final answer if the request is still pending.
-    pub fn answer(&mut self, answer: FinalAnswer) {
+    /// Sends the final response if the request is still pending.
+    pub fn answer(&mut self, response: FinalResponse) {
         if let Some(reply) = self.take_reply() {
-            let _ = reply.send(answer);
+            let _ = reply.send(response);
         }
     }
 
--- a/src/bin/load-balancer-proxy/dispatcher/tests.rs
+++ b/src/bin/load-balancer-proxy/dispatcher/tests.rs
@@ -5,7 +5,7 @@
 use super::{Dispatcher, DispatcherHandles};
 use crate::clock::Clock;
 use crate::config::Settings;
-use crate::messages::{DispatcherMessage, FinalAnswer, ReceivedRequest};
+use crate::messages::{DispatcherMessage, FinalResponse, ReceivedRequest};
 use crate::upstream::{ConnectionPool, UpstreamRequest, UpstreamResult};
 use bytes::Bytes;
 use hyper::Response;
@@ -41,9 +41,9 @@
     Dispatcher::new(Arc::new(settings()), 1, handles).expect("valid configuration")
 }
 
-/// Passes a request to the dispatcher and returns the receiver of its final answer.
-fn receive(dispatcher: &mut Dispatcher, id: RequestId, deadline: Time) -> oneshot::Receiver<FinalAnswer> {
-    let (reply, answer) = oneshot::channel();
+/// Passes a request to the dispatcher and returns the receiver of its final response.
+fn receive(dispatcher: &mut Dispatcher, id: RequestId, deadline: Time) -> oneshot::Receiver<FinalResponse> {
+    let (reply, response) = oneshot::channel();
     let upstream_request = UpstreamRequest::new(hyper::Request::new(()), Bytes::new(), Micros(0));
     dispatcher.handle_message(DispatcherMessage::RequestReceived(ReceivedRequest {
         id,
@@ -53,9 +53,9 @@
         expected_work: None,
         is_client_retry: false,
         upstream_request: Rc::new(upstream_request),
-        answer: reply,
+        response: reply,
     }));
-    answer
+    response
 }
 
 fn endpoint(id: BackendId, state: BackendState) -> Endpoint {
@@ -68,11 +68,11 @@
 /// Guards against reusing an attempt number when the balancer hedges a request in the tick in which it is
 /// answered.
 #[tokio::test]
-async fn an_attempt_dispatched_after_the_answer_ends_with_its_own_number() {
+async fn an_attempt_dispatched_after_the_response_ends_with_its_own_number() {
     let clock = Clock::new();
     let mut dispatcher = dispatcher(clock);
     let id = RequestId(1);
-    let mut answer = receive(&mut dispatcher, id, clock.now() + SECOND);
+    let mut response = receive(&mut dispatcher, id, clock.now() + SECOND);
     let sent_at = clock.now();
     let task = tokio::spawn(std::future::pending::<()>()).abort_handle();
     let request = dispatcher.requests.get_mut(id).expect("open request");
@@ -84,7 +84,10 @@
         attempt: AttemptNumber(0),
         result,
     });
-    assert!(matches!(answer.try_recv(), Ok(FinalAnswer::Served(_))), "the response is forwarded immediately");
+    assert!(
+        matches!(response.try_recv(), Ok(FinalResponse::Served(_))),
+        "the response is forwarded immediately"
+    );
     dispatcher.dispatch(clock.now(), id, BackendId(7), None);
     let Some(Event::AttemptEnded(end)) = dispatcher.events.last() else {
         panic!("expected an AttemptEnded event")
@@ -128,13 +131,13 @@
     let mut dispatcher = dispatcher(clock);
     let id = RequestId(1);
     let deadline = clock.now() + SECOND;
-    let mut answer = receive(&mut dispatcher, id, deadline);
+    let mut response = receive(&mut dispatcher, id, deadline);
     let failed_at = deadline + Micros(2 * dispatcher.settings.balancer.tick.0);
     dispatcher.expire_deadlines(deadline);
     dispatcher.fail_overdue(Time(failed_at.0 - 1));
-    assert!(answer.try_recv().is_err(), "not failed before the grace period ends");
+    assert!(response.try_recv().is_err(), "not failed before the grace period ends");
     dispatcher.fail_overdue(failed_at);
-    assert!(matches!(answer.try_recv(), Ok(FinalAnswer::Failed)));
+    assert!(matches!(response.try_recv(), Ok(FinalResponse::Failed)));
     assert_eq!(dispatcher.events.last(), Some(&Event::ClientDisconnected { request: id }));
     dispatcher.requests.remove_finished(&mut dispatcher.deadlines);
     assert_eq!(dispatcher.requests.len(), 0, "all requests are removed");
@@ -154,9 +157,9 @@
             endpoint(removed, BackendState::Removed),
         ],
     });
-    let mut answer = receive(&mut dispatcher, RequestId(1), clock.now() + SECOND);
+    let mut response = receive(&mut dispatcher, RequestId(1), clock.now() + SECOND);
     dispatcher.restart_balancer();
-    assert!(matches!(answer.try_recv(), Ok(FinalAnswer::Failed)));
+    assert!(matches!(response.try_recv(), Ok(FinalResponse::Failed)));
     assert_eq!(dispatcher.requests.len(), 0, "all requests are removed");
     assert_eq!(dispatcher.deadlines.next(), Time::NEVER, "all deadlines are removed");
     let [Event::EndpointListChanged { update, backends }] = &mut dispatcher.events[..] else {
--- a/src/bin/load-balancer-proxy/messages.rs
+++ b/src/bin/load-balancer-proxy/messages.rs
@@ -14,8 +14,8 @@
 use std::sync::{mpsc::SyncSender, Arc};
 use tokio::sync::oneshot;
 
-/// The final answer to a client's request.
-pub enum FinalAnswer {
+/// The final response to a client's request.
+pub enum FinalResponse {
     /// The response of a backend.
     Served(Response<Bytes>),
     /// The request was not executed.
@@ -43,8 +43,8 @@
     pub is_client_retry: bool,
     /// The request that is sent to backends.
     pub upstream_request: Rc<UpstreamRequest>,
-    /// Receives the final answer.
-    pub answer: oneshot::Sender<FinalAnswer>,
+    /// Receives the final response.
+    pub response: oneshot::Sender<FinalResponse>,
 }
 
 /// A message to the dispatcher.
--- a/src/bin/load-balancer-proxy/server/client_connection.rs
+++ b/src/bin/load-balancer-proxy/server/client_connection.rs
@@ -1,8 +1,8 @@
 //! State and timeouts of a client connection, and requests to close it.
 //!
 //! A connection is idle, receives the head of a request, handles the request (reads its body, then awaits its
-//! answer), and is idle again. The state is derived from the time of the first byte since the last answer and
-//! from the flags that the connection's task and request handler set.
+//! response), and is idle again. The state is derived from the time of the first byte since the last response
+//! and from the flags that the connection's task and request handler set.
 
 use crate::clock::{micros, Clock};
 use load_balancer::{Micros, Time};
@@ -32,7 +32,7 @@
 /// Times at which a client sent data.
 pub struct Activity {
     clock: Clock,
-    /// Time of the first byte since the last answer.
+    /// Time of the first byte since the last response.
     first_byte_at: Cell<Option<Time>>,
     last_byte_at: Cell<Option<Time>>,
 }
@@ -78,14 +78,14 @@
     accepted_at: Time,
     /// Times at which the client sent data.
     pub activity: Rc<Activity>,
-    /// Time of the last answer, until the head of the next request is read.
+    /// Time of the last response, until the head of the next request is read.
     idle_since: Cell<Option<Time>>,
     /// Whether a request on the connection has been answered.
     has_answered: Cell<bool>,
     /// Whether the head of a request was read and the request is not answered yet.
     is_handling_request: Cell<bool>,
-    /// Whether a request was read completely and awaits its answer.
-    is_awaiting_answer: Cell<bool>,
+    /// Whether a request was read completely and awaits its response.
+    is_awaiting_response: Cell<bool>,
     close_mode: Cell<Option<CloseMode>>,
     /// Notified when the connection is asked to close.
     pub close_requested: Notify,
@@ -107,7 +107,7 @@
             idle_since: Cell::default(),
             has_answered: Cell::default(),
             is_handling_request: Cell::default(),
-            is_awaiting_answer: Cell::default(),
+            is_awaiting_response: Cell::default(),
             close_mode: Cell::default(),
             close_requested: Notify::new(),
             request_timed_out: Notify::new(),
@@ -121,14 +121,14 @@
         self.idle_since.set(None);
     }
 
-    /// Sets whether a request was read completely and awaits its answer.
-    pub fn set_awaiting_answer(&self, is_awaiting_answer: bool) {
-        self.is_awaiting_answer.set(is_awaiting_answer);
+    /// Sets whether a request was read completely and awaits its response.
+    pub fn set_awaiting_response(&self, is_awaiting_response: bool) {
+        self.is_awaiting_response.set(is_awaiting_response);
     }
 
-    /// Whether a request was read completely and awaits its answer.
-    pub fn is_awaiting_answer(&self) -> bool {
-        self.is_awaiting_answer.get()
+    /// Whether a request was read completely and awaits its response.
+    pub fn is_awaiting_response(&self) -> bool {
+        self.is_awaiting_response.get()
     }
 
     /// Records that the request was answered.
@@ -177,10 +177,10 @@
     }
 
     /// Returns when and how the connection is closed at capacity because it is inactive. `None` if it was
-    /// asked to close, awaits an answer, or is idle between requests; the latter connections are closed
+    /// asked to close, awaits a response, or is idle between requests; the latter connections are closed
     /// first.
     pub fn close_deadline_at_capacity(&self) -> Option<CloseDeadline> {
-        if self.close_mode.get().is_some() || self.is_awaiting_answer.get() || self.idle_since().is_some() {
+        if self.close_mode.get().is_some() || self.is_awaiting_response.get() || self.idle_since().is_some() {
             return None;
         }
         Some(match self.activity.last_byte_at.get() {
@@ -220,7 +220,7 @@
         self.close_mode.get()
     }
 
-    /// Returns since when the connection has been idle between requests. `None` before the first answer and
+    /// Returns since when the connection has been idle between requests. `None` before the first response and
     /// once the client has sent the first byte of the next request.
     pub fn idle_since(&self) -> Option<Time> {
         self.idle_since.get().filter(|_| self.activity.first_byte_at.get().is_none())
@@ -238,7 +238,7 @@
 
     /// Whether the head or body of a request is partially received.
     pub fn is_receiving_request(&self) -> bool {
-        !self.is_awaiting_answer.get()
+        !self.is_awaiting_response.get()
             && (self.is_handling_request.get() || self.activity.first_byte_at.get().is_some())
     }
 
--- a/src/bin/load-balancer-proxy/server/client_socket.rs
+++ b/src/bin/load-balancer-proxy/server/client_socket.rs
@@ -1,4 +1,4 @@
-//! A client's socket that is read ahead while a request awaits its answer.
+//! A client's socket that is read ahead while a request awaits its response.
 //!
 //! In that state, hyper reads no more than the next byte, so that further bytes sent by the client would hide
 //! the end of its stream, and with it that the client has disconnected.
@@ -22,8 +22,8 @@
 /// Further bytes are still read, to detect the end of the stream, and dropped.
 const MAX_READ_AHEAD_BYTES: usize = 2 * MAX_BODY_BYTES;
 const READ_BUFFER_BYTES: usize = 4096;
-/// How long to wait for the end of a client's stream after the last answer. A client closes the connection
-/// once it has read that answer; a peer that does not close it occupies a descriptor for this long.
+/// How long to wait for the end of a client's stream after the last response. A client closes the connection
+/// once it has read that response; a peer that does not close it occupies a descriptor for this long.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
 /// The same for a peer whose request was never completed and that has stopped sending.
 const STALLED_PEER_LINGER_TIMEOUT: Duration = Duration::from_millis(100);
@@ -34,8 +34,8 @@
 /// The last response on a connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum LastResponse {
-    /// The answer to a complete request.
-    Answer,
+    /// The response to a complete request.
+    Complete,
     /// A 408 response to an incomplete request.
     Timeout,
 }
@@ -91,7 +91,7 @@
             return;
         }
         let timeout = match last_response {
-            LastResponse::Answer => LINGER_TIMEOUT,
+            LastResponse::Complete => LINGER_TIMEOUT,
             LastResponse::Timeout => STALLED_PEER_LINGER_TIMEOUT,
         };
         let end = async {
@@ -131,7 +131,7 @@
         if !socket.read_ahead.is_empty() {
             socket.activity.record_read();
         }
-        // hyper sees the end of a truncated stream here and closes the connection after the current answer.
+        // hyper sees the end of a truncated stream here and closes the connection after the current response.
         let length = socket.read_ahead.len().min(buffer.remaining());
         buffer.put_slice(&socket.read_ahead[..length]);
         socket.read_ahead.advance(length);
--- a/src/bin/load-balancer-proxy/server/connection_task.rs
+++ b/src/bin/load-balancer-proxy/server/connection_task.rs
@@ -56,7 +56,7 @@
 fn last_response(client: &ClientConnection) -> LastResponse {
     match client.close_mode() {
         Some(CloseMode::TimeOutRequest) => LastResponse::Timeout,
-        _ => LastResponse::Answer,
+        _ => LastResponse::Complete,
     }
 }
 
@@ -82,7 +82,7 @@
         let socket = ClientSocket::new(stream, client.activity.clone());
         let connection = http.serve_connection(socket.clone(), service);
         tokio::pin!(connection);
-        let disconnected = poll_fn(|cx| match client.is_awaiting_answer() {
+        let disconnected = poll_fn(|cx| match client.is_awaiting_response() {
             true => socket.poll_disconnected(cx),
             false => Poll::Pending,
         });
--- a/src/bin/load-balancer-proxy/server/graceful_shutdown.rs
+++ b/src/bin/load-balancer-proxy/server/graceful_shutdown.rs
@@ -16,8 +16,8 @@
 const MAX_REQUEST_TIME: Micros = Micros(3_000_000);
 /// Time after that in which requests are still answered. It ends 0.2 s before SIGKILL, which allows for a
 /// stall of 0.15 s and the transmission to the client.
-const ANSWER_GRACE_PERIOD: Micros = Micros(500_000);
-/// Time for writing the last 408 responses after the answer deadline. It starts when they are requested,
+const RESPONSE_GRACE_PERIOD: Micros = Micros(500_000);
+/// Time for writing the last 408 responses after the response deadline. It starts when they are requested,
 /// because a process that was stalled until then has not written any.
 const TIMEOUT_RESPONSE_PERIOD: Duration = Duration::from_millis(100);
 
@@ -32,7 +32,7 @@
         self.is_shutting_down.set(true);
         let longest_deadline = self.settings.borrow().longest_deadline;
         let signalled_at = self.clock.now().saturating_sub(self.stall_detector.unobserved_time());
-        let deadline = signalled_at + longest_deadline.min(MAX_REQUEST_TIME) + ANSWER_GRACE_PERIOD;
+        let deadline = signalled_at + longest_deadline.min(MAX_REQUEST_TIME) + RESPONSE_GRACE_PERIOD;
         self.notify_dispatcher(DispatcherMessage::ShutdownStarted { deadline });
         deadline
     }
--- a/src/bin/load-balancer-proxy/server/request_handler.rs
+++ b/src/bin/load-balancer-proxy/server/request_handler.rs
@@ -9,7 +9,7 @@
 use super::responses::{self, ServerResponse};
 use super::Server;
 use crate::headers::{remove_hop_by_hop, MAX_BODY_BYTES};
-use crate::messages::{DispatcherMessage, FinalAnswer, ReceivedRequest};
+use crate::messages::{DispatcherMessage, FinalResponse, ReceivedRequest};
 use crate::upstream::UpstreamRequest;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Sends a request to the dispatcher and waits for the final answer.
+    /// Sends a request to the dispatcher and waits for the final response.
     async fn forward(&self, request: CompleteRequest, client: &ClientConnection) -> ServerResponse {
         let CompleteRequest { received_at, time_before_read, parsed, head, body } = request;
         let upstream_request = Rc::new(UpstreamRequest::new(upstream_head(head), body, time_before_read));
@@ -108,7 +108,7 @@
             time_left_us = parsed.time_left.0,
             "request received"
         );
-        let (answer_sender, answer) = oneshot::channel();
+        let (response_sender, response) = oneshot::channel();
         self.notify_dispatcher(DispatcherMessage::RequestReceived(ReceivedRequest {
             id,
             class: parsed.class,
@@ -117,14 +117,14 @@
             expected_work: parsed.expected_work,
             is_client_retry: parsed.is_client_retry,
             upstream_request,
-            answer: answer_sender,
+            response: response_sender,
         }));
-        client.set_awaiting_answer(true);
-        let answer = answer.await;
-        client.set_awaiting_answer(false);
+        client.set_awaiting_response(true);
+        let response = response.await;
+        client.set_awaiting_response(false);
         // The sender is dropped if the dispatcher has ended, for example by a panic; every request fails
         // then.
-        complete(guard, answer.unwrap_or(FinalAnswer::Failed))
+        complete(guard, response.unwrap_or(FinalResponse::Failed))
     }
 }
 
@@ -138,18 +138,18 @@
     upstream_head
 }
 
-/// Logs the outcome and converts the final answer to a response.
-fn complete(guard: DisconnectGuard, answer: FinalAnswer) -> ServerResponse {
-    match answer {
-        FinalAnswer::Served(response) => {
+/// Logs the outcome and converts the final response to an HTTP response.
+fn complete(guard: DisconnectGuard, response: FinalResponse) -> ServerResponse {
+    match response {
+        FinalResponse::Served(response) => {
             guard.complete(RequestOutcome::Served);
             response.map(Full::new)
         }
-        FinalAnswer::Rejected { retry_after } => {
+        FinalResponse::Rejected { retry_after } => {
             guard.complete(RequestOutcome::Rejected);
             responses::rejected(retry_after)
         }
-        FinalAnswer::Failed => {
+        FinalResponse::Failed => {
             guard.complete(RequestOutcome::Failed);
             responses::failed()
         }
--- a/src/bin/load-balancer-proxy/server/request_parsing.rs
+++ b/src/bin/load-balancer-proxy/server/request_parsing.rs
@@ -25,7 +25,7 @@
     pub tenant: Option<TenantId>,
     /// Time until the client gives up on the request.
     pub time_left: Micros,
-    /// The answer is due this long before the client gives up.
+    /// The response is due this long before the client gives up.
     pub margin: Micros,
     /// Processing time that the client expects, on a standard core; `None` if it sent no hint.
     pub expected_work: Option<Micros>,
--- a/src/bin/load-balancer-proxy/upstream/request.rs
+++ b/src/bin/load-balancer-proxy/upstream/request.rs
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Records that the request has its final answer or its client has disconnected. No attempt of it is
+    /// Records that the request has its final response or its client has disconnected. No attempt of it is
     /// written afterwards.
     pub fn mark_answered(&self) {
         self.is_answered.set(true);
--- a/src/bin/simulator-adapter/messages.rs
+++ b/src/bin/simulator-adapter/messages.rs
@@ -34,7 +34,7 @@
     TimerFired,
     /// A message from another proxy; ignored, as the balancer sends none.
     PeerMessage,
-    /// The answer to a probe; ignored, as the balancer sends no probes.
+    /// The response to a probe; ignored, as the balancer sends no probes.
     ProbeAnswered,
 }
 
--- a/src/discovery/call_times.rs
+++ b/src/discovery/call_times.rs
@@ -20,9 +20,9 @@
 /// The platform considers a proxy notified of a change this long after discovery has the change and is
 /// reachable.
 const NOTIFICATION_DEADLINE: Duration = Duration::from_secs(6);
-/// Delay of an answer, beyond the wait, after which a call to the fleet's discovery service counts as lost.
+/// Delay of a response, beyond the wait, after which a call to the fleet's discovery service counts as lost.
 const POLL_GRACE: Duration = Duration::from_millis(1500);
-/// Time allowed for the call after a lost one: connecting, queueing at the service and the answer.
+/// Time allowed for the call after a lost one: connecting, queueing at the service and the response.
 const NEXT_CALL_TIME: Duration = Duration::from_secs(1);
 /// Longest wait for changes at the fleet's discovery service. It is as long as the limits allow, because
 /// every call puts load on the service.
@@ -44,7 +44,7 @@
     pub(super) snapshot_wait: Duration,
     /// Longest time that discovery holds a call until a change occurs.
     pub(super) change_wait: Duration,
-    /// Delay of an answer, beyond the wait, after which the call counts as lost.
+    /// Delay of a response, beyond the wait, after which the call counts as lost.
     pub(super) grace: Duration,
 }
 
--- a/src/discovery/client.rs
+++ b/src/discovery/client.rs
@@ -58,7 +58,7 @@
         let connection = match &mut self.connection {
             Some(open) if !open.sender.is_closed() => open,
             // Without a separate connect timeout, an unreachable address would use up the time for the
-            // answer.
+            // response.
             connection => connection.insert(Connection::open(address, connect_timeout).await?),
         };
         connection.fetch_list(address, path).await
--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! | topic | module |
 //! | --- | --- |
-//! | schedule of calls and handling of answers | `watch` |
+//! | schedule of calls and handling of responses | `watch` |
 //! | timeouts and backoff | `call_times` |
 //! | connection and single calls | `client` |
 //! | start times of backends on the clock of this process | [`start_times`] |
--- a/src/discovery/watch.rs
+++ b/src/discovery/watch.rs
@@ -130,15 +130,15 @@
         let Call { path, timeout } = self.build_call();
         tracing::debug!(%path, "discovery called");
         let connect_timeout = self.watch.settings.get().connect_timeout;
-        let answer = self.client.fetch_list(address, connect_timeout, &path);
+        let response = self.client.fetch_list(address, connect_timeout, &path);
         // An unresponsive discovery must not block the watch.
-        let answer = tokio::time::timeout(timeout, answer);
-        tokio::pin!(answer);
+        let response = tokio::time::timeout(timeout, response);
+        tokio::pin!(response);
         loop {
             tokio::select! {
                 biased;
                 Ok(()) = self.watch.address.changed() => return CallOutcome::AddressChanged,
-                answer = &mut answer => return match answer {
+                response = &mut response => return match response {
                     Ok(Ok(list)) => CallOutcome::ListReceived(list),
                     Ok(Err(error)) => CallOutcome::Failed(error),
                     Err(_) => CallOutcome::Failed(DiscoveryError::TimedOut),
--- a/src/event.rs
+++ b/src/event.rs
@@ -14,14 +14,14 @@
         /// The entries; empty for [`EndpointListUpdate::SubscriptionLost`].
         backends: Vec<Backend>,
     },
-    /// A client's request arrived. It is pending until its one final answer.
+    /// A client's request arrived. It is pending until its one final response.
     RequestArrived(RequestArrival),
     /// Replaces the active configuration. Later events number classes and tenants by the new one. Pending
     /// requests keep the class settings with which they arrived. A configuration that does not
     /// [validate](crate::Config::validate) changes nothing.
     ConfigReplaced(Box<ConfigUpdate>),
-    /// The host has begun to stream the answer of this attempt to the client: from now on the request is
-    /// neither hedged nor given up on a time-out. Reported only by hosts that forward answers before their
+    /// The host has begun to stream the response of this attempt to the client: from now on the request is
+    /// neither hedged nor given up on a time-out. Reported only by hosts that forward responses before their
     /// end.
     ResponseStarted {
         /// The request.
@@ -77,7 +77,7 @@
     pub outcome: Outcome,
     /// Time from the dispatch to the end of the attempt.
     pub latency: Micros,
-    /// The host has sent the client its final answer: the request is no longer pending.
+    /// The host has sent the client its final response: the request is no longer pending.
     pub answered: bool,
 }
 
@@ -90,7 +90,7 @@
     ErrorResponse,
     /// The backend rejected the request without executing it.
     Rejected,
-    /// No answer arrived in time. The request may have been executed, or still be executing.
+    /// No response arrived in time. The request may have been executed, or still be executing.
     TimedOut,
     /// No connection was made, or it broke before the whole request was written. It was not executed.
     ConnectFailed,
--- a/tests/balancer/fleet.rs
+++ b/tests/balancer/fleet.rs
@@ -92,7 +92,8 @@
     assert!(many[..20].iter().sum::<u32>() >= 20, "too few resubscribed within 2 s: {many:?}");
     let few = resubscriptions(3);
     assert_eq!(few[..2].iter().sum::<u32>(), 3, "{few:?}");
-    // A proxy counts as notified 6 s after discovery is reachable; half of that is for its queue and answer.
+    // A proxy counts as notified 6 s after discovery is reachable; half of that is for the queue and
+    // the response.
     let fleet = resubscriptions(470);
     assert_eq!(fleet[..30].iter().sum::<u32>(), 470, "{fleet:?}");
     assert!(fleet.iter().all(|calls| *calls <= 32), "{fleet:?}");
--- a/tests/discovery/watch.rs
+++ b/tests/discovery/watch.rs
@@ -126,15 +126,15 @@
         let (connection, headers) = next_call(&service).await;
         assert!(headers.starts_with("GET /api/targets?after=1&"), "{headers}");
         let body = r#"{"index":0,"snapshot":false,"endpoints":[]}"#;
-        let answer =
+        let response =
             format!("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: {}\r\n\r\n{body}", body.len());
-        connection.try_write(answer.as_bytes()).expect("response written");
+        connection.try_write(response.as_bytes()).expect("response written");
         drop(connection);
         let (connection, headers) = next_call(&service).await;
         assert!(headers.starts_with("GET /api/targets HTTP"), "{headers}");
         let body = r#"{"index":0,"snapshot":true,"endpoints":[]}"#;
-        let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
-        connection.try_write(answer.as_bytes()).expect("response written");
+        let response = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
+        connection.try_write(response.as_bytes()).expect("response written");
         assert!(matches!(watch.updates.recv().await, Some((EndpointListUpdate::Snapshot, _))));
     };
     LocalSet::new().run_until(scenario).await;
--- a/tests/proxy/capacity.rs
+++ b/tests/proxy/capacity.rs
@@ -73,8 +73,8 @@
     let mut peers: Vec<Client> = partial_requests.iter().cycle().take(60).map(open).collect();
     assert_eq!(send_request(&proxy, &request("read", 7000)).status(), 200);
     for peer in &mut peers {
-        let answer = peer.read_response();
-        assert!(answer.as_ref().is_none_or(|response| response.status() == 408), "{answer:?}");
+        let response = peer.read_response();
+        assert!(response.as_ref().is_none_or(|response| response.status() == 408), "{response:?}");
     }
     // The slots are freed in rounds of at most three seconds.
     assert!(began.elapsed() < Duration::from_secs(25), "{:?}", began.elapsed());
--- a/tests/proxy/deadlines.rs
+++ b/tests/proxy/deadlines.rs
@@ -1,4 +1,4 @@
-//! Final answers at or near the deadline of a request.
+//! Final responses at or near the deadline of a request.
 
 use crate::support::{
     config, config_with_long_connect_timeout, endpoint, ok_response, request, send_request, start_proxy_for,
@@ -28,9 +28,9 @@
         ProxyProcess::spawn(&config(discovery.address, &[endpoint("a", backend.address, "draining", 0)]));
     wait_until("readiness check to return 503", || proxy.readiness_status() == 503);
     // No backend is ready, so the request stays queued until it can no longer be served in time.
-    let answer = send_request(&proxy, &request("read", 100));
-    assert_eq!(answer.status(), 503);
-    assert!(answer.header("retry-after").unwrap().parse::<u32>().unwrap() > 0);
+    let response = send_request(&proxy, &request("read", 100));
+    assert_eq!(response.status(), 503);
+    assert!(response.header("retry-after").unwrap().parse::<u32>().unwrap() > 0);
     assert!(backend.requests().is_empty());
 }
 
--- a/tests/proxy/discovery_recovery.rs
+++ b/tests/proxy/discovery_recovery.rs
@@ -20,7 +20,7 @@
 enum Fault {
     /// Answers 503.
     Unavailable,
-    /// Closes the connection without an answer.
+    /// Closes the connection without a response.
     ConnectionClosed,
     /// Accepts the call and never answers.
     Unresponsive,
--- a/tests/proxy/graceful_shutdown.rs
+++ b/tests/proxy/graceful_shutdown.rs
@@ -25,7 +25,7 @@
     wait_until("the slow request", || backend.requests().len() == 2);
     proxy.terminate();
     wait_until("not ready", || proxy.readiness_status() != 200);
-    let response = slow_client.read_response().expect("an answer to the request in flight");
+    let response = slow_client.read_response().expect("a response to the request in flight");
     assert_eq!((response.status(), response.header("connection")), (200, Some("close")));
     assert!(idle_client.closes());
     assert!(proxy.wait_for_exit().success());
@@ -62,7 +62,7 @@
     }
 }
 
-/// Guards against answers that a stalled process sends only after the time of SIGKILL.
+/// Guards against responses that a stalled process sends only after the time of SIGKILL.
 #[test]
 fn a_stalled_process_answers_every_request_before_sigkill() {
     const STALL: Duration = Duration::from_millis(150);
@@ -117,7 +117,7 @@
         proxy.terminate();
         wait_until("the listener to close", || proxy.readiness_status() == 0);
         client.send(&pay[cut..]);
-        let response = client.read_response().expect("an answer");
+        let response = client.read_response().expect("a response");
         // On a loaded machine the body may miss its deadline.
         let is_body_late = cut > 5 && response.status() == 408;
         assert!(response.status() == 200 || is_body_late, "{response:?}");
--- a/tests/proxy/reload/large_files.rs
+++ b/tests/proxy/reload/large_files.rs
@@ -85,7 +85,7 @@
         while !stop.load(Ordering::SeqCst) {
             let began = Instant::now();
             client.send(&text);
-            assert_eq!(client.read_response().expect("an answer").status(), 200);
+            assert_eq!(client.read_response().expect("a response").status(), 200);
             summary.longest = summary.longest.max(began.elapsed());
             summary.count += 1;
             std::thread::sleep(Duration::from_millis(1));
--- a/tests/proxy/reload/requests_in_flight.rs
+++ b/tests/proxy/reload/requests_in_flight.rs
@@ -59,7 +59,7 @@
     for closing in &closing_backends {
         closing.may_close.store(true, Ordering::SeqCst);
     }
-    let status = client.read_response().expect("an answer").status();
+    let status = client.read_response().expect("a response").status();
     Outcome { status, attempts: attempts() }
 }
 
@@ -92,10 +92,13 @@
         config["settings"]["profiles"] = profiles;
         reload(&proxy, &config);
         client.send(&pay[pay.len() - 2..]);
-        let answer = client.read_response().expect("an answer").status();
+        let received_status = client.read_response().expect("a response").status();
         // On a loaded machine the body may miss its deadline.
-        assert!(answer == status || answer == 408, "expected {status}, got {answer}");
+        assert!(
+            received_status == status || received_status == 408,
+            "expected {status}, got {received_status}"
+        );
         client.stop_sending();
-        assert!(client.closes(), "more than one answer");
+        assert!(client.closes(), "more than one response");
     }
 }
--- a/tests/proxy/soak/clients.rs
+++ b/tests/proxy/soak/clients.rs
@@ -2,7 +2,7 @@
 
 use super::random::{below, one_in};
 use super::record::{RequestOutcome, RequestRecord, RunRecord};
-use super::rules::{MAX_ANSWER_DELAY, TEST_THREAD_DELAY};
+use super::rules::{MAX_RESPONSE_DELAY, TEST_THREAD_DELAY};
 use crate::support::{request, Client, Message};
 use rand_pcg::Pcg32;
 use std::net::SocketAddr;
@@ -53,7 +53,7 @@
             self.record.requests.lock().unwrap().insert(id, record);
             return None;
         }
-        client.set_read_timeout(time_left + MAX_ANSWER_DELAY + TEST_THREAD_DELAY);
+        client.set_read_timeout(time_left + MAX_RESPONSE_DELAY + TEST_THREAD_DELAY);
         let response = client.read_response();
         if let Some(response) = &response {
             assert_own_response(id, response);
--- a/tests/proxy/soak/rules.rs
+++ b/tests/proxy/soak/rules.rs
@@ -8,7 +8,7 @@
 /// Additional tolerance for delays of the test's own threads on a loaded machine.
 pub const TEST_THREAD_DELAY: Duration = Duration::from_millis(400);
 /// Time after its deadline by which a request must have its response.
-pub const MAX_ANSWER_DELAY: Duration = Duration::from_millis(500);
+pub const MAX_RESPONSE_DELAY: Duration = Duration::from_millis(500);
 /// Time after a client's disconnect by which attempts of its request may still be sent.
 const MAX_SEND_AFTER_DISCONNECT: Duration = Duration::from_millis(100);
 /// Maximum by which the time left that a backend receives may exceed the client's actual time left.
@@ -50,7 +50,7 @@
 fn check_response(id: u64, request: &RequestRecord, log: &str) -> Option<&'static str> {
     let field = format!(" correlation_id={id:x} ");
     let is_accepted = || log.lines().any(|line| line.contains("request received ") && line.contains(&field));
-    let latest = request.sent + request.time_left + MAX_ANSWER_DELAY + TEST_THREAD_DELAY;
+    let latest = request.sent + request.time_left + MAX_RESPONSE_DELAY + TEST_THREAD_DELAY;
     match request.outcome {
         RequestOutcome::Unanswered if is_accepted() => Some("no response"),
         RequestOutcome::Answered { at, .. } if at > latest => Some("late response"),
