--- a/src/discovery/watch.rs
+++ b/src/discovery/watch.rs
@@ -130,15 +130,15 @@
         let Call { path, timeout } = self.build_call();
         tracing::debug!(%path, "discovery called");
         let connect_timeout = self.watch.settings.get().connect_timeout;
-        let answer = self.client.fetch_list(address, connect_timeout, &path);
+        let response = self.client.fetch_list(address, connect_timeout, &path);
         // An unresponsive discovery must not block the watch.
-        let answer = tokio::time::timeout(timeout, answer);
-        tokio::pin!(answer);
+        let response = tokio::time::timeout(timeout, response);
+        tokio::pin!(response);
         loop {
             tokio::select! {
                 biased;
                 Ok(()) = self.watch.address.changed() => return CallOutcome::AddressChanged,
-                answer = &mut answer => return match answer {
+                response = &mut response => return match response {
                     Ok(Ok(list)) => CallOutcome::ListReceived(list),
                     Ok(Err(error)) => CallOutcome::Failed(error),
                     Err(_) => CallOutcome::Failed(DiscoveryError::TimedOut),
@@ -184,7 +184,7 @@
             return;
         }
         tracing::debug!(version, entries = list.endpoints.len(), "endpoint list received");
-        self.watch.start_times.place((self.watch.now)(), is_snapshot, &mut list.endpoints);
+        self.watch.start_times.convert_to_local((self.watch.now)(), is_snapshot, &mut list.endpoints);
         self.watch.version = Some(version);
         self.waits_for_balancer = false;
         self.backoff = INITIAL_BACKOFF;
--- a/tests/balancer/fleet.rs
+++ b/tests/balancer/fleet.rs
@@ -1,6 +1,6 @@
 //! The combined behaviour of a fleet of proxies, whose balancers do not communicate.
 
-use crate::support::{backend, backends, serve, Answer, Host};
+use crate::support::{backend, backends, serve, Host, RequestOutcome};
 use load_balancer::{Backend, Config, DiscoveryMode, EndpointListUpdate, Event, Micros, Outcome};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
@@ -92,7 +92,8 @@
     assert!(many[..20].iter().sum::<u32>() >= 20, "too few resubscribed within 2 s: {many:?}");
     let few = resubscriptions(3);
     assert_eq!(few[..2].iter().sum::<u32>(), 3, "{few:?}");
-    // A proxy counts as notified 6 s after discovery is reachable; half of that is for its queue and answer.
+    // A proxy counts as notified 6 s after discovery is reachable; half of that is for the queue and
+    // the response.
     let fleet = resubscriptions(470);
     assert_eq!(fleet[..30].iter().sum::<u32>(), 470, "{fleet:?}");
     assert!(fleet.iter().all(|calls| *calls <= 32), "{fleet:?}");
@@ -157,7 +158,7 @@
         let rejected = host.arrive(0, 300_000);
         host.advance(300_000);
         assert!(host.dispatched_to(rejected).is_empty());
-        assert_eq!(host.answer(rejected), Some(Answer::Rejected));
+        assert_eq!(host.outcome_of(rejected), Some(RequestOutcome::Rejected));
         let queued = host.arrive(0, 900_000);
         host.update_endpoints(EndpointListUpdate::Snapshot, new_kind.clone());
         assert_eq!(
@@ -207,10 +208,14 @@
             let count = mean + f64::from(random.next_u32()) / f64::from(u32::MAX);
             host.burst(count as usize, 0, 400_000);
             host.serve_all(load.step_us);
-            let ended = host.requests.values().filter(|request| request.answer.is_some());
+            let ended = host.requests.values().filter(|request| request.outcome.is_some());
             let attempts = ended.flat_map(|request| &request.attempts);
-            times.extend(attempts.filter(|attempt| attempt.backend.0 == backend).map(|attempt| attempt.at.0));
-            host.requests.retain(|_, request| request.answer.is_none());
+            times.extend(
+                attempts
+                    .filter(|attempt| attempt.backend.0 == backend)
+                    .map(|attempt| attempt.dispatched_at.0),
+            );
+            host.requests.retain(|_, request| request.outcome.is_none());
         }
     }
     times.sort_unstable();
--- a/tests/proxy/deadlines.rs
+++ b/tests/proxy/deadlines.rs
@@ -1,7 +1,7 @@
-//! Final answers at or near the deadline of a request.
+//! Final responses at or near the deadline of a request.
 
 use crate::support::{
-    config, config_with_long_connect_timeout, endpoint, ok_response, proxy_for, request, send_request,
+    config, config_with_long_connect_timeout, endpoint, ok_response, request, send_request, start_proxy_for,
     wait_until, warm_up, Backend, Client, Discovery, Message, ProxyProcess, Reply, SlowAcceptBackend,
 };
 use std::time::Duration;
@@ -10,7 +10,7 @@
 #[test]
 fn the_balancer_answers_every_request_at_its_deadline() {
     let backend = Backend::start(|_| Reply::NoResponse);
-    let (proxy, _discovery) = proxy_for(&[("a", &backend)]);
+    let (proxy, _discovery) = start_proxy_for(&[("a", &backend)]);
     assert_eq!(send_request(&proxy, &request("pay", 500)).status(), 502);
     wait_until("connection of the timed-out attempt closed", || backend.closed_connections() == 1);
     for time_left_ms in (0..16).cycle().take(160) {
@@ -28,9 +28,9 @@
         ProxyProcess::spawn(&config(discovery.address, &[endpoint("a", backend.address, "draining", 0)]));
     wait_until("readiness check to return 503", || proxy.readiness_status() == 503);
     // No backend is ready, so the request stays queued until it can no longer be served in time.
-    let answer = send_request(&proxy, &request("read", 100));
-    assert_eq!(answer.status(), 503);
-    assert!(answer.header("retry-after").unwrap().parse::<u32>().unwrap() > 0);
+    let response = send_request(&proxy, &request("read", 100));
+    assert_eq!(response.status(), 503);
+    assert!(response.header("retry-after").unwrap().parse::<u32>().unwrap() > 0);
     assert!(backend.requests().is_empty());
 }
 
