--- a/src/balancer/admission.rs
+++ b/src/balancer/admission.rs
@@ -1,4 +1,4 @@
-//! Admission control: sheds the requests of lowest priority when the backends cannot answer all traffic in
+//! Admission control: sheds the requests of lowest priority when the backends cannot serve all traffic in
 //! time. The admitted fraction rises with each prompt response and falls with each slow one; a response is
 //! slow from [`slow_threshold`] on.
 
@@ -10,15 +10,15 @@
 use crate::units::{ClassId, Micros};
 
 /// Fraction of the time between the unloaded latency and the latency objective after which a response is
-/// slow. When the mean latency uses twice this fraction, the slowest responses miss the objective.
+/// slow.
 const SLOW_THRESHOLD_FRACTION: f64 = 0.25;
 /// Lower bound of the admitted fraction: without any traffic, no response would show that the backends have
 /// recovered.
 const MIN_ADMITTED_FRACTION: f64 = 0.05;
 /// Relative change of the admitted fraction per response.
 const ADJUSTMENT_STEP: f64 = 0.07;
-/// Steps down per slow response, for one step up per prompt response. The admitted fraction settles where a
-/// third of the responses are slow, so a quarter of the backends can be outliers without any load shedding.
+/// Steps down per slow response, for one step up per prompt response. The admitted fraction is stable while a
+/// third of the responses are slow.
 const SLOW_RESPONSE_WEIGHT: f64 = 2.0;
 /// Requests per second at this proxy above which the step shrinks, so that the admitted fraction changes no
 /// faster than responses show the effect of the change.
@@ -112,8 +112,8 @@
 }
 
 /// Value of a request relative to an original request within quota, from 0 to 1. A client retry is worth
-/// mostly the late weight, since its client has waited before, and serving it ahead of a new request would
-/// make both late.
+/// its class's late weight fraction, at least [`MIN_RETRY_VALUE`]: its client has already waited, and serving
+/// it ahead of a new request would make both late.
 pub(super) fn relative_value(
     config: &Config, late_weight_fraction: f64, is_client_retry: bool, over_quota: bool,
 ) -> f64 {
--- a/src/balancer/attempt_outcome.rs
+++ b/src/balancer/attempt_outcome.rs
@@ -8,7 +8,7 @@
 use crate::event::{AttemptResult, Outcome};
 use crate::units::{AttemptNumber, ClassId, KindId, Micros, RequestId, Time};
 
-/// Guards a division by a latency.
+/// Lower bound of a recorded latency, against division by zero.
 const MIN_LATENCY_SECS: f64 = 1e-6;
 
 impl Balancer {
@@ -48,7 +48,7 @@
     pub(super) fn slow_threshold_of(&self, attempt: &InFlightAttempt) -> Micros {
         let backend = self.fleet.backends.get(&attempt.backend);
         let kind = backend.and_then(|backend| self.fleet.kind_of(backend));
-        let unloaded_secs = kind.and_then(|kind| kind.service_rate.unloaded_secs());
+        let unloaded_secs = kind.and_then(|kind| kind.estimates.unloaded_secs());
         let work = self.classes.relative_work(attempt.class);
         slow_threshold(attempt.class_objective, unloaded_secs.map_or(0.0, |secs| secs * work))
     }
@@ -80,7 +80,7 @@
         let secs = latency.secs().max(MIN_LATENCY_SECS);
         self.classes.record_latency(class, secs);
         let scaled_secs = self.classes.scaled_to_mean_work(class, secs);
-        self.fleet.kinds.entry(kind).or_default().service_rate.record_latency(scaled_secs);
+        self.fleet.kinds.entry(kind).or_default().estimates.record_latency(scaled_secs);
     }
 
     /// Counts attempts in flight past their slow threshold as slow responses: an overloaded backend responds
@@ -109,8 +109,8 @@
     }
 }
 
-/// The outcome by which the backend is judged. An attempt cancelled after its latency objective, because the
-/// client disconnected, counts as a timeout.
+/// The outcome by which the backend is judged. An attempt that is cancelled after its latency objective, for
+/// example because the client disconnected, counts as timed out.
 fn effective_outcome(result: &AttemptResult, attempt: &InFlightAttempt) -> Outcome {
     if result.outcome == Outcome::Cancelled && result.latency > attempt.class_objective {
         Outcome::TimedOut
--- a/src/balancer/classes.rs
+++ b/src/balancer/classes.rs
@@ -5,8 +5,7 @@
 use crate::estimators::RunningMean;
 use crate::units::{ClassId, Micros};
 
-/// Samples in the window of a running mean or share. The standard error of a mean is then about a tenth of
-/// the standard deviation of its samples.
+/// Samples in the window of a running mean or share.
 pub(super) const MEAN_WINDOW: f64 = 100.0;
 /// Assumed latency of a class before any of its requests is served, as a fraction of its latency objective.
 const ASSUMED_LATENCY_FRACTION: f64 = 0.25;
@@ -102,7 +101,7 @@
     /// Scales the latency `secs` of a request of the class to that of a request of mean work. The class must
     /// have a latency sample.
     pub fn scaled_to_mean_work(&self, class: ClassId, secs: f64) -> f64 {
-        secs * self.overall_latency.value() / self.classes[class.0].latency.value()
+        secs * self.overall_latency.mean_or_zero() / self.classes[class.0].latency.mean_or_zero()
     }
 
     /// Records the work that a client expects its request to take.
@@ -113,7 +112,7 @@
     /// Mean work that clients expect a request to take, in seconds on a standard core; `None` before
     /// the first sample.
     pub fn expected_work_secs(&self) -> Option<f64> {
-        self.expected_work.get()
+        self.expected_work.mean()
     }
 
     /// Whether any request was served yet.
@@ -123,24 +122,24 @@
 
     /// Work of a request of the class relative to that of a mean request, estimated from latencies.
     pub fn relative_work(&self, class: ClassId) -> f64 {
-        self.classes[class.0].latency.get().map_or(1.0, |secs| secs / self.overall_latency.value())
+        self.classes[class.0].latency.mean().map_or(1.0, |secs| secs / self.overall_latency.mean_or_zero())
     }
 
     /// Mean latency of served requests of the class; an assumed fraction of `objective` before the first one.
     pub fn typical_latency(&self, class: ClassId, objective: Micros) -> Micros {
         let assumed = objective.times(ASSUMED_LATENCY_FRACTION);
-        self.classes[class.0].latency.get().map_or(assumed, Micros::from_secs)
+        self.classes[class.0].latency.mean().map_or(assumed, Micros::from_secs)
     }
 
-    /// Replaces the active classes. `previous` holds the former number of each new class, whose statistics
-    /// are kept, or `None` for a class that was not there before. Pass the returned mapping to
+    /// Replaces the active classes. `previous` holds the old index of each new class, whose statistics are
+    /// kept, or `None` for a class that was not there before. Pass the returned mapping to
     /// [`renumber`](ClassTable::renumber) for each pending request and attempt in flight.
     pub fn replace(&mut self, classes: &[Class], previous: &[Option<ClassId>]) -> ClassMapping {
         let replaced: Vec<TrackedClass> = std::mem::take(&mut self.classes);
         let mut mapping = ClassMapping::new(replaced);
         for (index, config) in classes.iter().enumerate() {
-            let old_number = previous.get(index).copied().flatten();
-            let known = old_number.and_then(|old_number| mapping.assign(old_number, ClassId(index)));
+            let old_id = previous.get(index).copied().flatten();
+            let known = old_id.and_then(|old_id| mapping.assign(old_id, ClassId(index)));
             let tracked = known.unwrap_or_else(|| TrackedClass::new(config.clone()));
             self.classes.push(TrackedClass { config: config.clone(), ..tracked });
         }
@@ -148,7 +147,7 @@
         mapping
     }
 
-    /// The new number of the class of a pending request or an attempt in flight. A removed class is moved
+    /// The new index of the class of a pending request or an attempt in flight. A removed class is moved
     /// behind the active ones.
     pub fn renumber(&mut self, mapping: &mut ClassMapping, class: ClassId) -> ClassId {
         if mapping.is_unassigned(class) {
--- a/src/balancer/concurrency_limit.rs
+++ b/src/balancer/concurrency_limit.rs
@@ -4,18 +4,18 @@
 use super::priority::LOW_PRIORITY_CAPACITY_FRACTION;
 use crate::units::Micros;
 
-/// Attempts that all proxies together keep in flight at one backend. A processor-sharing server at 80 %
-/// utilization holds 0.8 / (1 - 0.8) = 4 on average; more add latency to each other.
+/// Attempts that all proxies together keep in flight at one backend: the mean number at a processor-sharing
+/// server with a utilization of 80 %.
 pub(super) const IN_FLIGHT_PER_BACKEND: f64 = 4.0;
 /// Standard deviations by which a proxy's limit exceeds its mean number of attempts in flight, which is taken
 /// as Poisson distributed.
 const PROXY_LIMIT_DEVIATIONS: f64 = 1.5;
-/// Growth of a backend's minimum round-trip time per response, so that a longer network path is noticed after
-/// a few hundred responses.
+/// Factor by which a backend's minimum round-trip time can rise per response, so that a longer network path
+/// is noticed after a few hundred responses.
 const ROUND_TRIP_GROWTH: f64 = 1.002;
 /// Fraction of a proxy's limit at a backend that zone preference scales; the rest is equal for all proxies.
 const ZONE_PREFERENCE_FRACTION: f64 = 0.5;
-/// Guards a division by the expected work.
+/// Lower bound of the expected work, against division by zero.
 const MIN_WORK_SECS: f64 = 1e-6;
 
 /// The limit on attempts in flight at one backend.
@@ -23,7 +23,7 @@
 pub(super) struct ConcurrencyLimit {
     /// This proxy's part of the limit, in attempts.
     own_limit: f64,
-    /// Recent minimum of the time from dispatch to response: mostly the time on the network.
+    /// Recent minimum of the time from dispatch to response: network and processing time without queueing.
     min_round_trip_secs: Option<f64>,
 }
 
--- a/src/balancer/deadlines.rs
+++ b/src/balancer/deadlines.rs
@@ -10,15 +10,14 @@
 /// Interval between checks of a queued request, in ticks.
 const QUEUED_CHECK_TICKS: f64 = 4.0;
 /// Multiple of the typical latency after which an attempt is presumed lost with its connection, if a response
-/// is no longer useful and its backend has responded to others since. The multiple lets a backend that has
-/// become ten times slower still respond.
+/// is no longer useful and its backend has responded to others since.
 const LOST_LATENCY_MULTIPLE: f64 = 12.0;
 
 /// The result of checking a request.
-pub(super) struct Check {
+pub(super) struct RequestCheck {
     pub decision: Decision,
     /// When the next check is due.
-    pub next_at: Time,
+    pub next_check_at: Time,
 }
 
 /// What to do with a request.
@@ -44,29 +43,33 @@
 }
 
 /// Checks a request whose response is not being streamed yet. `typical` is the typical latency of its class.
-pub(super) fn check(config: &Config, fleet: &Fleet, now: Time, request: &Request, typical: Micros) -> Check {
-    let latest_response = latest_useful_response(request);
-    // A response at the deadline itself would be too late.
-    let last_tick = request.deadline.saturating_sub(config.tick);
-    let lost_at = attempt_presumed_lost_at(fleet, request, latest_response, typical);
-    let end = lost_at.map_or(last_tick, |at| at.min(last_tick));
+pub(super) fn check_request(
+    config: &Config, fleet: &Fleet, now: Time, request: &Request, typical: Micros,
+) -> RequestCheck {
+    let useful_until = response_useful_until(request);
+    // A final response at the deadline itself would be too late.
+    let final_response_due = request.deadline.saturating_sub(config.tick);
+    let lost_at = attempt_presumed_lost_at(fleet, request, useful_until, typical);
+    let give_up_at = lost_at.map_or(final_response_due, |at| at.min(final_response_due));
     let is_in_flight = request.is_in_flight();
-    let routine = if is_in_flight { request.deadline } else { next_queued_check(config, now) };
-    let would_be_too_late = !is_in_flight && now + typical >= latest_response;
-    let decision = if now >= end || would_be_too_late {
-        Decision::GiveUp // early, while a rejection may still be possible
+    let regular_check_at = if is_in_flight { request.deadline } else { next_queued_check(config, now) };
+    // A request that another attempt would serve too late is given up early: the attempt could rule out a
+    // rejection.
+    let would_be_too_late = !is_in_flight && now + typical >= useful_until;
+    let decision = if now >= give_up_at || would_be_too_late {
+        Decision::GiveUp
     } else {
         let unresponsive =
             unresponsive_attempt(fleet, request).filter(|_| now + typical < request.objective_at);
         unresponsive.map_or(Decision::Keep, |attempt| Decision::ReplaceAttempt { attempt })
     };
-    Check { decision, next_at: routine.min(end) }
+    RequestCheck { decision, next_check_at: regular_check_at.min(give_up_at) }
 }
 
-/// Time until which a response is useful. A response after the latency objective is useful only if the class
-/// gives it weight and the request was dispatched before: no capacity is spent on a request that would be
-/// late from the start.
-fn latest_useful_response(request: &Request) -> Time {
+/// Time until which a response is useful to the client. A response after the latency objective is useful only
+/// if the class gives it weight and the request was dispatched before: no capacity is spent on a request that
+/// would be late from the start.
+fn response_useful_until(request: &Request) -> Time {
     let late_response_counts = request.class_config.late_weight_fraction > 0.0 && !request.is_unsent();
     if late_response_counts {
         request.deadline
@@ -75,14 +78,15 @@
     }
 }
 
-/// When the newest attempt is presumed lost; `None` if its backend has not responded to anything since.
+/// When the newest attempt is presumed lost; `None` if there is none, or its backend is no longer known or
+/// has not responded to anything since.
 fn attempt_presumed_lost_at(
-    fleet: &Fleet, request: &Request, latest_response: Time, typical: Micros,
+    fleet: &Fleet, request: &Request, useful_until: Time, typical: Micros,
 ) -> Option<Time> {
     let newest = request.attempts.last()?;
     let backend = fleet.backends.get(&newest.backend.id)?;
     let has_responded = backend.health.has_responded_since(newest.sent_at);
-    has_responded.then(|| latest_response.max(newest.sent_at + typical.times(LOST_LATENCY_MULTIPLE)))
+    has_responded.then(|| useful_until.max(newest.sent_at + typical.times(LOST_LATENCY_MULTIPLE)))
 }
 
 /// The only attempt of the request, if it is in flight at a backend that is unresponsive or no longer known.
--- a/src/balancer/dispatching.rs
+++ b/src/balancer/dispatching.rs
@@ -3,8 +3,8 @@
 use super::priority::{class_priorities, is_low_priority};
 use super::request::{AttemptId, InFlightAttempt, SentAttempt};
 use super::request_queue::QueuedRequest;
-use super::selection::Selection;
-use super::slow_start::SlowStart;
+use super::selection::BackendSelector;
+use super::slow_start::SlowStartLimits;
 use super::{retry, Balancer};
 use crate::action::Action;
 use crate::units::{BackendId, RequestId, Time};
@@ -61,20 +61,20 @@
 
     fn select_backend(&mut self, now: Time, id: RequestId) -> Option<BackendId> {
         let request = self.requests.get(&id)?;
-        let slow_start = SlowStart {
+        let slow_start_limits = SlowStartLimits {
             config: &self.config,
             fleet: &self.fleet,
             now,
             proxy_rate: self.admitted_rate.per_second(),
         };
-        let selection = Selection {
+        let selector = BackendSelector {
             fleet: &self.fleet,
             classes: &self.classes,
-            slow_start,
+            slow_start_limits,
             proxy_limit: &self.proxy_limit,
             in_flight: self.attempts.len(),
         };
-        selection.select_backend(request, &mut self.random)
+        selector.select_backend(request, &mut self.random)
     }
 
     fn dispatch(&mut self, now: Time, id: RequestId, backend_id: BackendId) {
--- a/src/balancer/fleet.rs
+++ b/src/balancer/fleet.rs
@@ -5,7 +5,7 @@
 
 use super::concurrency_limit::ConcurrencyLimit;
 use super::outlier_detection::Health;
-use super::service_rate_estimation::KindServiceRate;
+use super::service_rate_estimation::KindEstimates;
 use super::slow_start::RecentWork;
 use super::subset::{KindSubset, SubsetCoverage};
 use super::traffic_allocation::SelectionTable;
@@ -54,7 +54,7 @@
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
-    /// Whether the endpoint list has it as ready for new requests.
+    /// Whether the endpoint list gives its state as ready.
     pub fn is_listed_ready(&self) -> bool {
         self.endpoint.state == BackendState::Ready
     }
@@ -73,14 +73,15 @@
 /// State of a kind of backend at this proxy.
 #[derive(Default)]
 pub(super) struct TrackedKind {
-    pub service_rate: KindServiceRate,
+    pub estimates: KindEstimates,
     /// Sum of the readiness of its backends. Set by `share_update`, like the next three fields.
     pub total_readiness: f64,
-    /// Number of its backends that the endpoint list has as ready, whatever their health.
+    /// Number of its backends whose state in the endpoint list is ready, whatever their health.
     pub listed_ready_backends: f64,
     /// Fraction of the traffic of all proxies that it receives, by HALB.
     pub fleet_share: f64,
-    /// Highest weight that the endpoint list ever gave one of its backends; taken for that of an idle one.
+    /// Highest weight that the endpoint list ever gave one of its backends, assumed to be that of an idle
+    /// one.
     pub idle_weight: f64,
     pub subset: KindSubset,
     pub selection_table: SelectionTable,
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -95,8 +95,8 @@
     /// Rate of requests that pass admission control, including those rejected for lack of allocated capacity.
     admitted_rate: Rate,
     /// Interval between updates of the traffic shares: the shortest latency objective of all classes.
-    update_interval: Micros,
-    updated_at: Time,
+    share_update_interval: Micros,
+    shares_updated_at: Time,
     wakeup: Wakeup,
     log: OperatorLog,
     actions: Vec<Action>,
@@ -121,8 +121,8 @@
             queue: RequestQueue::default(),
             attempts: BTreeMap::new(),
             admitted_rate: Rate::default(),
-            update_interval: shortest_objective(&config.classes),
-            updated_at: Time(0),
+            share_update_interval: shortest_objective(&config.classes),
+            shares_updated_at: Time(0),
             wakeup: Wakeup::new(),
             log: OperatorLog::new(),
             actions: Vec::new(),
@@ -144,7 +144,7 @@
             }
         }
         self.apply(now, event);
-        if now - self.updated_at >= self.update_interval {
+        if now - self.shares_updated_at >= self.share_update_interval {
             self.update_shares(now);
         }
         if self.wakeup.take_due(now) {
--- a/src/balancer/outlier_detection.rs
+++ b/src/balancer/outlier_detection.rs
@@ -1,8 +1,8 @@
-//! Outlier detection: ejects backends that fail or stop responding while others answer.
+//! Outlier detection: ejects backends that fail or stop responding while others respond.
 //!
-//! The time of an ejection doubles with each ejection of the backend, up to a maximum. Afterwards the backend
-//! is on probation until it has served some requests. An error rate is an exponentially weighted mean over
-//! the outcomes of a backend's attempts, from 0 (no errors) to 1.
+//! The duration of an ejection doubles with each ejection of the backend, up to a maximum. Afterwards the
+//! backend is on probation until it has served some requests. An error rate is an exponentially weighted mean
+//! over the outcomes of a backend's attempts, from 0 (no errors) to 1.
 
 use super::fleet::{Fleet, TrackedBackend};
 use super::request::InFlightAttempt;
@@ -10,8 +10,8 @@
 use crate::random::Random;
 use crate::units::{BackendId, Micros, Time};
 
-/// Successes after an ejection for error responses that end the probation. A backend that answers every
-/// fourth request with an error is likely to be ejected again before that.
+/// Number of successes that end the probation after an ejection for an error response. After any other
+/// outcome, one success ends it.
 const PROBATION_SUCCESSES: u32 = 10;
 /// Minimum error rate at which a backend is ejected; two errors in close succession exceed it.
 const MIN_EJECTION_ERROR_RATE: f64 = 0.3;
@@ -20,7 +20,7 @@
 /// Weight of the newest outcome in an error rate.
 const ERROR_RATE_WEIGHT: f64 = 0.2;
 /// An attempt that is older than this multiple of its typical latency marks its backend as unresponsive,
-/// unless the backend has answered since the attempt was sent.
+/// unless the backend has responded since the attempt was sent.
 const UNRESPONSIVE_LATENCY_MULTIPLE: f64 = 6.0;
 /// Mean duration of a backend's first ejection.
 const BASE_EJECTION_TIME: Micros = Micros(1_000_000);
@@ -31,8 +31,8 @@
 /// Maximum number of doublings of the ejection time, so that a recovered backend is used again within
 /// seconds.
 const MAX_EJECTION_DOUBLINGS: i32 = 3;
-/// With a larger fraction of the listed backends ejected, ejected backends are used all the same: the cause
-/// is then likely not in the backends.
+/// With more than this fraction of the listed ready backends ejected, ejected backends are used anyway: the
+/// cause is then likely not in the backends.
 const PANIC_THRESHOLD_FRACTION: f64 = 0.5;
 
 /// The health of a backend as observed by this proxy.
@@ -58,12 +58,12 @@
         self.factor
     }
 
-    /// Whether an attempt is overdue and the backend has not answered since it was sent.
+    /// Whether an attempt is overdue and the backend has not responded since it was sent.
     pub fn is_unresponsive(&self) -> bool {
         self.is_unresponsive
     }
 
-    /// Whether the backend has answered after `time`. A response at exactly `time` may belong to an earlier
+    /// Whether the backend has responded after `time`. A response at exactly `time` may belong to an earlier
     /// request and does not count.
     pub fn has_responded_since(&self, time: Time) -> bool {
         self.last_response > time
@@ -127,7 +127,7 @@
             false
         }
         Outcome::Cancelled | Outcome::NotSent | Outcome::Rejected => false,
-        // A time-out is not the backend's fault if it has answered another request since the attempt was
+        // A timeout is not the backend's fault if it has responded to another request since the attempt was
         // sent, or at that very time: the request may be heavy.
         Outcome::TimedOut => health.last_response < attempt.sent_at,
         Outcome::ErrorResponse | Outcome::ConnectionReset | Outcome::ConnectFailed => {
@@ -142,8 +142,9 @@
 }
 
 impl UnresponsiveBackends {
-    /// Marks the backends with overdue attempts as unresponsive and clears all other marks. `typical` returns
-    /// the typical latency of an attempt. Returns the time of the next update.
+    /// Marks as unresponsive the backends that have an overdue attempt and have not responded since it was
+    /// sent, and clears all other marks. `typical` returns the typical latency of an attempt. Returns the
+    /// time of the next update.
     pub fn update<'a>(
         &mut self, fleet: &mut Fleet, now: Time, attempts: impl Iterator<Item = &'a InFlightAttempt>,
         typical: impl Fn(&InFlightAttempt) -> Micros,
@@ -182,7 +183,7 @@
 }
 
 /// The error rate above which a backend is an outlier, relative to the other backends in the subset. If all
-/// backends fail, because of the network or of requests that none can answer, ejecting some of them would
+/// backends fail, because of the network or of requests that none can serve, ejecting some of them would
 /// only overload the rest.
 fn ejection_error_rate(fleet: &Fleet, id: BackendId) -> f64 {
     let is_compared = |backend: &TrackedBackend| {
@@ -237,7 +238,7 @@
     }
 }
 
-/// Numbers of backends that the endpoint list has as ready, and of those ejected among them.
+/// Number of backends whose state in the endpoint list is ready, and how many of them are ejected.
 #[derive(Default)]
 struct EjectionCounts {
     listed: f64,
@@ -257,7 +258,7 @@
         counts
     }
 
-    /// Whether an ejected backend is used all the same. An unreachable one is used only if all backends are
+    /// Whether an ejected backend is used anyway. An unreachable one is used only if all backends are
     /// ejected and unreachable.
     fn allow_use_of(&self, health: &Health) -> bool {
         let too_many = self.ejected > self.listed * PANIC_THRESHOLD_FRACTION;
--- a/src/balancer/priority.rs
+++ b/src/balancer/priority.rs
@@ -1,5 +1,5 @@
-//! Request priorities, by contribution to the operator's goal per unit of work. The goal weighs all traffic
-//! against the class with the lowest on-time fraction.
+//! Request priorities, by contribution to the operator's goal per unit of work. The goal combines
+//! the result of all traffic with that of the class with the lowest on-time fraction.
 //!
 //! The priority of a queued request is that of its class times the request's relative value, which is 1 for
 //! an original request within quota and less for a client retry or a request over quota.
@@ -14,7 +14,7 @@
 pub(super) const LOW_PRIORITY_CAPACITY_FRACTION: f64 = 0.5;
 /// Classes whose on-time fraction is within this distance of the lowest also count as worst served.
 const WORST_CLASS_TOLERANCE: f64 = 0.02;
-/// Lower bound of a class's arrival share; guards divisions by it.
+/// Lower bound of a class's arrival share, against division by zero.
 const MIN_ARRIVAL_SHARE: f64 = 1e-3;
 
 pub(super) fn is_low_priority(relative_value: f64) -> bool {
--- a/src/balancer/reconfiguration.rs
+++ b/src/balancer/reconfiguration.rs
@@ -63,7 +63,7 @@
         for attempt in self.attempts.values_mut() {
             attempt.class = self.classes.renumber(&mut mapping, attempt.class);
         }
-        self.update_interval = shortest_objective(&config.classes);
+        self.share_update_interval = shortest_objective(&config.classes);
         self.quotas.replace(config.tenants.len(), &previous_tenants);
         self.config = config;
     }
--- a/src/balancer/request.rs
+++ b/src/balancer/request.rs
@@ -18,8 +18,8 @@
 pub(super) struct Request {
     /// Index into `ClassTable::all`; a reconfiguration renumbers it.
     pub class: ClassId,
-    /// Configuration of the class at arrival. A later reconfiguration neither permits nor forbids retries of
-    /// this request.
+    /// Configuration of the class at arrival: a later reconfiguration does not change which retries are
+    /// allowed.
     pub class_config: Class,
     /// Limit on attempts, as configured at arrival.
     pub max_attempts: u32,
--- a/src/balancer/request_arrival.rs
+++ b/src/balancer/request_arrival.rs
@@ -24,11 +24,12 @@
             return self.give_up(arrival.request);
         }
         self.queue.push(arrival.request);
-        let check_in = deadlines::queued_check_interval(&self.config).min(arrival.time_left);
-        self.wakeup.schedule(now + check_in);
+        let first_check_delay = deadlines::queued_check_interval(&self.config).min(arrival.time_left);
+        self.wakeup.schedule(now + first_check_delay);
     }
 
-    /// Records an arrival and builds its request. `None` if its class is not active, which hosts rule out.
+    /// Records an arrival and builds its request. Returns `None`, and records nothing, if its class
+    /// is not active; hosts pass only active classes.
     fn new_request(&mut self, now: Time, arrival: &RequestArrival) -> Option<Request> {
         let class_config = self.classes.config(arrival.class)?.clone();
         if let Some(work) = arrival.expected_work {
@@ -36,7 +37,7 @@
         }
         self.retry_budget.deposit();
         self.classes.record_arrival(arrival.class);
-        let over_quota = self.quotas.is_exceeded(&self.config, now, arrival.tenant);
+        let over_quota = self.quotas.charge(&self.config, now, arrival.tenant);
         let extension = arrival.expected_work.unwrap_or_default().times(class_config.objective_per_work);
         let objective = Micros(class_config.latency_objective.0 + extension.0).min(arrival.time_left);
         Some(Request {
@@ -57,8 +58,9 @@
         })
     }
 
-    /// Draws whether capacity is allocated for a request. Limits of warming backends can reduce the sum of
-    /// the traffic shares below 1; that sum is the probability of having capacity.
+    /// Decides at random whether a request gets allocated capacity. The probability is the sum of the traffic
+    /// shares, which the limits of warming backends can reduce below 1. While that sum is 0, as without a
+    /// usable backend, every request is queued.
     fn draw_allocated_capacity(&mut self) -> bool {
         let allocated: f64 = self.fleet.kinds.values().map(|kind| kind.selection_table.total()).sum();
         allocated <= 0.0 || self.random.unit() <= allocated
--- a/src/balancer/request_checks.rs
+++ b/src/balancer/request_checks.rs
@@ -15,8 +15,8 @@
         let mut unresponsive = Vec::new();
         for (&id, request) in self.requests.iter().filter(|(_, request)| !request.is_streaming) {
             let typical = typical_latency(&self.classes, request);
-            let check = deadlines::check(&self.config, &self.fleet, now, request, typical);
-            self.wakeup.schedule(check.next_at);
+            let check = deadlines::check_request(&self.config, &self.fleet, now, request, typical);
+            self.wakeup.schedule(check.next_check_at);
             match check.decision {
                 Decision::Keep => {}
                 Decision::GiveUp => given_up.push(id),
--- a/src/balancer/request_queue.rs
+++ b/src/balancer/request_queue.rs
@@ -15,8 +15,8 @@
 }
 
 /// Which first attempts found no capacity since the last event that could free some. They are skipped until
-/// the next such event, which saves CPU time when the queue is long. A retry is still tried, unless the
-/// queue is skipped as a whole.
+/// the next such event, which saves CPU time when the queue is long. Retries are not blocked themselves, but
+/// with `Everything` later passes over the queue are skipped, retries included.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 enum Blocked {
     #[default]
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Removes and returns all queued requests. Some may be closed already.
+    /// Removes and returns all queued requests.
     pub fn take_all(&mut self) -> Vec<RequestId> {
         std::mem::take(&mut self.waiting)
     }
--- a/src/balancer/retry.rs
+++ b/src/balancer/retry.rs
@@ -6,10 +6,9 @@
 use crate::config::{Config, Idempotency, IdempotencyScope};
 use crate::units::{Micros, Time};
 
-/// Retries added to the budget per request. Twice the customary 0.1, to cover the time until an outlier is
-/// ejected.
+/// Retries that each arriving request adds to the budget.
 const RETRIES_PER_REQUEST: f64 = 0.2;
-/// Number of requests whose unused retries the budget accumulates at most.
+/// Capacity of the budget, as the number of requests whose retries it holds.
 const BUDGET_REQUESTS: f64 = 100.0;
 /// Longest assumed stall of the host between reading its clock and writing an attempt.
 const MAX_HOST_STALL: Micros = Micros(150_000);
@@ -21,7 +20,7 @@
 }
 
 impl RetryBudget {
-    /// Adds the fraction of a retry that each arriving request earns.
+    /// Adds the retries of an arriving request, up to the budget's capacity.
     pub fn deposit(&mut self) {
         self.balance = (self.balance + RETRIES_PER_REQUEST).min(RETRIES_PER_REQUEST * BUDGET_REQUESTS);
     }
@@ -36,7 +35,7 @@
     }
 }
 
-/// Whether another attempt may be dispatched now, to some backend.
+/// Whether another attempt may be dispatched now, whichever backend is selected.
 pub(super) fn may_dispatch(config: &Config, now: Time, request: &Request) -> bool {
     let is_repeatable = |attempt: &SentAttempt| {
         attempt.never_executed || request.class_config.idempotency != Idempotency::NonIdempotent
@@ -58,7 +57,7 @@
     Some((first + window).saturating_sub(config.tick.max(MAX_HOST_STALL)))
 }
 
-/// Whether this backend may execute the request: it had no attempt before, and it discards duplicates of
+/// Whether this backend may execute the request: it received no attempt before, and it discards duplicates of
 /// every attempt that may have been executed.
 pub(super) fn may_execute_at(backend: &Backend, request: &Request) -> bool {
     let discards_duplicate = |attempt: &SentAttempt| match request.class_config.idempotency {
--- a/src/balancer/selection.rs
+++ b/src/balancer/selection.rs
@@ -1,6 +1,6 @@
 //! Selection of the backend for an attempt: weighted random by traffic share, first among kinds and then
-//! among the backends of the kind. If the drawn backend is full, unresponsive or ineligible,
-//! another one is drawn: a backend loaded past its limit stays slow for long.
+//! among the backends of the kind. If the drawn backend is full, unresponsive or ineligible, another one is
+//! drawn: a backend loaded past its limit stays slow for a long time.
 
 use super::classes::ClassTable;
 use super::concurrency_limit::ProxyLimit;
@@ -8,26 +8,26 @@
 use super::priority::is_low_priority;
 use super::request::Request;
 use super::retry;
-use super::slow_start::SlowStart;
+use super::slow_start::SlowStartLimits;
 use crate::random::{Random, Weighted};
 use crate::units::{BackendId, KindId};
 
 /// Unsuccessful draws after which all backends are searched: when so many draws fail, most backends are full.
 const MAX_DRAWS: usize = 8;
 
-/// The state that a selection depends on.
-pub(super) struct Selection<'a> {
+/// A view of the state on which the selection of a backend depends.
+pub(super) struct BackendSelector<'a> {
     pub fleet: &'a Fleet,
     pub classes: &'a ClassTable,
-    pub slow_start: SlowStart<'a>,
+    pub slow_start_limits: SlowStartLimits<'a>,
     pub proxy_limit: &'a ProxyLimit,
     /// Attempts of this proxy in flight.
     pub in_flight: usize,
 }
 
-impl Selection<'_> {
-    /// Selects a backend for the next attempt of the request; `None` if none has capacity. For a retry all
-    /// backends are searched at once, as few may be eligible.
+impl BackendSelector<'_> {
+    /// Selects a backend for the next attempt of the request; `None` if none has capacity. For a retry, all
+    /// backends are searched without any draws, as few may be eligible.
     pub fn select_backend(&self, request: &Request, random: &mut Random) -> Option<BackendId> {
         if !self.proxy_limit.allows(self.in_flight, is_low_priority(request.relative_value)) {
             return None;
@@ -80,6 +80,6 @@
     fn is_eligible(&self, backend: &TrackedBackend, request: &Request) -> bool {
         backend.is_listed_ready()
             && retry::may_execute_at(&backend.endpoint, request)
-            && self.slow_start.admits(backend, self.classes.relative_work(request.class))
+            && self.slow_start_limits.admits(backend, self.classes.relative_work(request.class))
     }
 }
--- a/src/balancer/service_rate_estimation.rs
+++ b/src/balancer/service_rate_estimation.rs
@@ -11,8 +11,7 @@
 use crate::estimators::RunningMean;
 use crate::units::Micros;
 
-/// Time constant of the estimates. The service rate changes rarely, while the traffic from which it is
-/// computed changes constantly.
+/// Time constant with which the service rate and the arrival rate of a kind are smoothed.
 const SERVICE_RATE_TIME_CONSTANT: Micros = Micros(10_000_000);
 /// A latency is clipped at this multiple of its kind's mean, so that a few late responses of outliers do not
 /// lower the estimate of the whole kind.
@@ -20,27 +19,28 @@
 /// Number of samples from which on the service rate is smoothed. Also the weight of the latency prior, in
 /// samples.
 const MIN_SAMPLES: f64 = 10.0;
-/// Fraction of the shortest latency objective that is the prior of the unloaded latency: if it were longer,
-/// the objective could hardly be met at any load.
+/// Prior of the unloaded latency, as a fraction of the shortest latency objective.
 const UNLOADED_PRIOR_FRACTION: f64 = 0.5;
-/// Rate at which the unloaded latency rises towards the measured one, as a fraction per second.
+/// Rate at which the lowest recent latencies rise towards the mean latency, as a fraction per second.
 const UNLOADED_RISE_PER_SECOND: f64 = 0.03;
 /// Minimum mean readiness of a kind's listed backends for their arrival rate to indicate what a ready backend
 /// can handle.
 const REPRESENTATIVE_FRACTION: f64 = 0.8;
 
-/// Estimates of the service rate and latency of the backends of one kind.
+/// Estimates of the service rate, arrival rate and latency of the backends of one kind.
 #[derive(Default)]
-pub(super) struct KindServiceRate {
+pub(super) struct KindEstimates {
     /// Mean latency of served requests, in seconds from dispatch to response, scaled to mean work.
     latency: RunningMean,
     /// Smoothed arrival rate of one ready backend, in requests per second. Updated only while the kind's
-    /// backends are representative.
+    /// backends are ready enough; see [`REPRESENTATIVE_FRACTION`].
     smoothed_arrival_rate: f64,
-    /// Requests per second that one backend can serve; zero until there is an estimate.
+    /// Requests of mean work per second that one backend can serve. [`update`](KindEstimates::update) sets it
+    /// to zero as long as there is no sample; [`update_service_rates`] then replaces it with the mean of the
+    /// other kinds.
     service_rate: f64,
-    /// Lowest recent mean latency, in seconds. It starts at the prior: an estimate that is too high falls
-    /// with the first samples, one that is too low would take long to rise.
+    /// Latency of an unloaded backend: the lowest recent mean, in seconds. It starts at the prior: an
+    /// estimate that is too high falls with the first samples, one that is too low would take long to rise.
     unloaded_secs: Option<f64>,
     /// The same without the prior; `None` before the first sample.
     min_latency_secs: Option<f64>,
@@ -50,19 +50,19 @@
 struct KindLoad {
     /// Sum of the readiness of its backends.
     total_readiness: f64,
-    /// Number of its backends that the endpoint list has as ready.
+    /// Number of its backends whose state in the endpoint list is ready.
     listed_ready_backends: f64,
     /// Requests per second for each ready backend.
     arrival_rate: f64,
 }
 
-impl KindServiceRate {
+impl KindEstimates {
     /// Requests of mean work per second that one backend can serve.
-    pub fn requests_per_second(&self) -> f64 {
+    pub fn service_rate(&self) -> f64 {
         self.service_rate
     }
 
-    fn is_known(&self) -> bool {
+    fn has_service_rate(&self) -> bool {
         self.service_rate > 0.0
     }
 
@@ -71,38 +71,38 @@
         self.unloaded_secs
     }
 
-    /// Requests per second that a backend of the kind is known to handle: the arrival rate that others have
-    /// had, and at least one request at a time. `None` before the first sample.
+    /// Requests per second that a backend of the kind is known to handle: the smoothed arrival rate, but at
+    /// least the rate of serving one request at a time. `None` before the first sample.
     pub fn observed_rate(&self) -> Option<f64> {
         self.min_latency_secs.map(|secs| self.smoothed_arrival_rate.max(1.0 / secs))
     }
 
     /// Records the latency of a served request, in seconds, scaled to mean work.
     pub fn record_latency(&mut self, secs: f64) {
-        let limit = self.latency.get().unwrap_or(secs) * MAX_LATENCY_MULTIPLE;
+        let limit = self.latency.mean().unwrap_or(secs) * MAX_LATENCY_MULTIPLE;
         self.latency.add(secs.min(limit), MEAN_WINDOW);
     }
 
     fn update(&mut self, load: &KindLoad, elapsed_secs: f64, latency_prior_secs: f64) {
-        self.update_unloaded(elapsed_secs, latency_prior_secs);
+        self.update_latencies(elapsed_secs, latency_prior_secs);
         let weight = (elapsed_secs / SERVICE_RATE_TIME_CONSTANT.secs()).min(1.0);
         if load.total_readiness > load.listed_ready_backends * REPRESENTATIVE_FRACTION {
             self.smoothed_arrival_rate += (load.arrival_rate - self.smoothed_arrival_rate) * weight;
         }
-        // The arrival rate is this proxy's own estimate and follows the kind's share. Without smoothing, a
-        // kind with a large share would be estimated ever faster, and the shares of all proxies would
+        // The arrival rate is computed from the kind's share. Without smoothing, a larger share would raise
+        // the estimated service rate, which would raise the share again, and the shares of all proxies would
         // oscillate.
-        let service_rate = self.latency.get().map_or(0.0, |secs| 1.0 / secs + load.arrival_rate);
+        let service_rate = self.latency.mean().map_or(0.0, |secs| 1.0 / secs + load.arrival_rate);
         let weight = if self.latency.samples() < MIN_SAMPLES { 1.0 } else { weight };
         self.service_rate += (service_rate - self.service_rate) * weight;
     }
 
-    fn update_unloaded(&mut self, elapsed_secs: f64, prior_secs: f64) {
+    fn update_latencies(&mut self, elapsed_secs: f64, prior_secs: f64) {
         let rise = 1.0 + UNLOADED_RISE_PER_SECOND * elapsed_secs;
         let risen = self.unloaded_secs.map_or(prior_secs, |secs| secs * rise);
         self.unloaded_secs = Some(self.latency.shrunk_towards(prior_secs, MIN_SAMPLES).min(risen));
         let risen = self.min_latency_secs.map_or(f64::MAX, |secs| secs * rise);
-        self.min_latency_secs = self.latency.get().map(|secs| secs.min(risen));
+        self.min_latency_secs = self.latency.mean().map(|secs| secs.min(risen));
     }
 }
 
@@ -118,19 +118,19 @@
         let arrival_rate = if total_readiness > 0.0 { kind_rate / total_readiness } else { 0.0 };
         let load =
             KindLoad { total_readiness, listed_ready_backends: kind.listed_ready_backends, arrival_rate };
-        kind.service_rate.update(&load, elapsed_secs, latency_prior_secs);
+        kind.estimates.update(&load, elapsed_secs, latency_prior_secs);
     }
     let mean = mean_known_service_rate(fleet);
-    for kind in fleet.kinds.values_mut().filter(|kind| !kind.service_rate.is_known()) {
-        kind.service_rate.service_rate = mean;
+    for kind in fleet.kinds.values_mut().filter(|kind| !kind.estimates.has_service_rate()) {
+        kind.estimates.service_rate = mean;
     }
 }
 
 /// Mean of the known service rates, or 1 if none is known.
 fn mean_known_service_rate(fleet: &Fleet) -> f64 {
     let (mut total, mut count) = (0.0, 0.0);
-    for kind in fleet.kinds.values().filter(|kind| kind.service_rate.is_known()) {
-        total += kind.service_rate.service_rate;
+    for kind in fleet.kinds.values().filter(|kind| kind.estimates.has_service_rate()) {
+        total += kind.estimates.service_rate;
         count += 1.0;
     }
     if count > 0.0 {
--- a/src/balancer/share_update.rs
+++ b/src/balancer/share_update.rs
@@ -16,8 +16,8 @@
     /// Updates the readiness of every backend, the service rate and share of every kind, the subsets, and the
     /// traffic shares and concurrency limits that follow from them.
     pub(super) fn update_shares(&mut self, now: Time) {
-        let elapsed_secs = (now - self.updated_at).secs();
-        self.updated_at = now;
+        let elapsed_secs = (now - self.shares_updated_at).secs();
+        self.shares_updated_at = now;
         self.queue.unblock();
         outlier_detection::update_health(&mut self.fleet, now);
         self.update_readiness(now);
@@ -28,7 +28,7 @@
             &mut self.fleet,
             elapsed_secs,
             fleet_rate,
-            self.update_interval,
+            self.share_update_interval,
         );
         self.update_kind_shares(fleet_rate.filter(|_| self.classes.has_latency()));
         subset::update_subsets(&self.config, now, &mut self.fleet);
@@ -66,7 +66,7 @@
         let capacities: Vec<KindCapacity> = kinds
             .map(|kind| KindCapacity {
                 backends: kind.total_readiness,
-                service_rate: kind.service_rate.requests_per_second(),
+                service_rate: kind.estimates.service_rate(),
             })
             .collect();
         let shares = halb_shares(&capacities, fleet_rate);
@@ -82,7 +82,7 @@
 /// With k requests in flight per core, the list reports 1 / (1 + k) of the weight of an idle backend. Up to
 /// `IN_FLIGHT_PER_BACKEND / 2` requests per core the factor is 1; above that it falls with the square of the
 /// weight, so that slow backends can drain their requests. A lightly loaded backend gets no more than its
-/// share: all proxies see the same delayed reports and would send to the least loaded backend at once.
+/// share: all proxies see the same delayed reports and would all send to the least loaded backend.
 fn reported_load_factor(config: &Config, endpoint: &Backend, idle_weight: f64) -> f64 {
     if !config.live_weights {
         return 1.0;
--- a/src/balancer/slow_start.rs
+++ b/src/balancer/slow_start.rs
@@ -16,7 +16,7 @@
 /// Fraction of `slow_start_duration` that a backend likely needs: the configured duration is the maximum over
 /// all kinds.
 pub(super) const LIKELY_DURATION_FRACTION: f64 = 0.7;
-/// The platform allows for the random variation of arrivals: a warming backend that sustains n requests in an
+/// The platform allows for random variation of the arrivals: a warming backend that sustains n requests in an
 /// overload window tolerates n + 2 x sqrt(n) + 2, where sqrt(n) is the standard deviation of a Poisson count.
 const ALLOWED_DEVIATIONS: f64 = 2.0;
 /// The constant term of the formula at [`ALLOWED_DEVIATIONS`].
@@ -27,7 +27,7 @@
 /// subsets.
 const SHARED_FRACTION: f64 = 0.8;
 
-/// Requests per second that a proxy is assumed to receive until its rate is known, when a limit is computed.
+/// Requests per second of a proxy that are assumed in the computation of a limit until its rate is known.
 const ASSUMED_PROXY_RATE: f64 = 1.0;
 
 /// Fraction of its capacity that a backend has now if it is warm after `duration_fraction` of
@@ -69,8 +69,8 @@
     }
 }
 
-/// Computes the limits of warming backends at one point in time.
-pub(super) struct SlowStart<'a> {
+/// Computes the limits of warming backends from a view of the balancer's state at `now`.
+pub(super) struct SlowStartLimits<'a> {
     pub config: &'a Config,
     pub fleet: &'a Fleet,
     pub now: Time,
@@ -78,7 +78,7 @@
     pub proxy_rate: Option<f64>,
 }
 
-impl SlowStart<'_> {
+impl SlowStartLimits<'_> {
     /// Requests of mean work that all proxies together may send to a backend within an overload window, with
     /// the allowance for random variation; infinite once the backend is warm.
     fn window_limit(&self, backend: &TrackedBackend) -> f64 {
@@ -90,8 +90,8 @@
         let fleet_rate = self.proxy_rate.unwrap_or(ASSUMED_PROXY_RATE) * f64::from(config.proxy_count);
         let even_rate = fleet_rate / self.fleet.backends.len() as f64;
         // The rate that backends of its kind have handled before indicates its capacity. The current arrival
-        // rate does not when few backends are ready: it is the rate that must be bounded.
-        let observed_rate = self.fleet.kind_of(backend).and_then(|kind| kind.service_rate.observed_rate());
+        // rate does not: while few backends are ready, it can exceed what they can handle.
+        let observed_rate = self.fleet.kind_of(backend).and_then(|kind| kind.estimates.observed_rate());
         let service_rate = observed_rate.unwrap_or(even_rate);
         let sustained = config.overload_multiple * warm * service_rate * config.overload_window.secs();
         sustained + ALLOWED_DEVIATIONS * sustained.sqrt() + ALLOWED_EXTRA_REQUESTS
--- a/src/balancer/subscription.rs
+++ b/src/balancer/subscription.rs
@@ -1,7 +1,7 @@
 //! The subscription to the endpoint list: decides when to call discovery, and when to call again after a
 //! loss.
 //!
-//! All proxies lose their subscriptions at the same time, and discovery handles their calls one after
+//! All proxies can lose their subscriptions at the same time, and discovery handles their calls one after
 //! another. The calls therefore use exponential backoff with full jitter.
 
 use crate::backend::EndpointListUpdate;
@@ -11,9 +11,8 @@
 
 /// The first calls after a loss are spread over this time multiplied by the number of proxies.
 const SPREAD_PER_PROXY: Micros = Micros(50_000);
-/// Maximum backoff before a call after a loss. The platform counts a proxy as notified 6 s after discovery is
-/// reachable again; the other half of that is for the queue at discovery, its response, and a second call if
-/// the first is rejected.
+/// Maximum backoff before a call after a loss: half of the 6 s after which the platform counts a proxy as
+/// notified once discovery is reachable again.
 const MAX_BACKOFF: Micros = Micros(3_000_000);
 /// Maximum backoff as a fraction of the poll interval, for short poll intervals.
 const MAX_BACKOFF_FRACTION: f64 = 1.0 / 2.0;
@@ -30,7 +29,7 @@
 }
 
 impl Subscription {
-    /// Schedules the first call at once, unless the list is pushed.
+    /// Schedules an immediate first call, unless the list is pushed.
     pub fn new(mode: DiscoveryMode) -> Subscription {
         let next_call = (mode != DiscoveryMode::Push).then_some(Time(0));
         Subscription { next_call, backoff_secs: 0.0 }
--- a/src/balancer/subset.rs
+++ b/src/balancer/subset.rs
@@ -192,9 +192,9 @@
     let proxy_count = f64::from(config.proxy_count);
     let backend_count = ring.iter().filter(|member| member.length > 0.0).count() as f64;
     let size = SubsetSize::of(proxy_count, backend_count);
-    let covered_backends = update_coverage(config, ring, &size);
-    if covered_backends > 0.0 {
-        let share_multiplier = total_readiness / covered_backends.max(EPSILON);
+    let covered_readiness = update_coverage(config, ring, &size);
+    if covered_readiness > 0.0 {
+        let share_multiplier = total_readiness / covered_readiness.max(EPSILON);
         return KindSubset { width: size.width, share_multiplier };
     }
     // No backend in the subset is usable: fall back to all backends of the kind.
@@ -211,7 +211,7 @@
     let own_start = subset_start(config.proxy_index);
     let mean_proxies = size.width * f64::from(config.proxy_count);
     let mut start = 0.0;
-    let mut covered_backends = 0.0;
+    let mut covered_readiness = 0.0;
     for member in ring {
         let arc = Arc { start, end: start + member.length / ring_length.max(EPSILON) };
         let own_fraction = if size.width < 1.0 { arc.fraction_inside(own_start, size.width) } else { 1.0 };
@@ -225,8 +225,8 @@
             coverage.proxy_count = coverage.proxy_count.max(exact.proxy_count);
         }
         member.backend.coverage = coverage;
-        covered_backends += member.backend.readiness * own_fraction;
+        covered_readiness += member.backend.readiness * own_fraction;
         start = arc.end;
     }
-    covered_backends
+    covered_readiness
 }
--- a/src/balancer/traffic_allocation.rs
+++ b/src/balancer/traffic_allocation.rs
@@ -7,13 +7,13 @@
 use super::concurrency_limit::ProxyLimit;
 use super::fleet::{Fleet, TrackedBackend, TrackedKind};
 use super::rotation::Rotation;
-use super::slow_start::SlowStart;
+use super::slow_start::SlowStartLimits;
 use super::zone_preference::ZonePreference;
 use crate::config::Config;
 use crate::units::{BackendId, Micros, Time};
 
-/// Period after which the rounding of the proxies' fractions of a concurrency limit rotates: longer than any
-/// request.
+/// Period of the rotation that decides which proxies round their part of a concurrency limit up; longer than
+/// any request lasts.
 const CONCURRENCY_ROTATION_PERIOD: Micros = Micros(5_000_000);
 /// Added to the traffic share of every usable backend, in proportion to its readiness, so that it can receive
 /// traffic if all others are at their limits.
@@ -70,11 +70,13 @@
 }
 
 impl AllocationInputs {
-    fn of(slow_start: &SlowStart, rotation: &Rotation, backend: &TrackedBackend) -> AllocationInputs {
+    fn of(
+        slow_start_limits: &SlowStartLimits, rotation: &Rotation, backend: &TrackedBackend,
+    ) -> AllocationInputs {
         AllocationInputs {
-            fair_share: slow_start.fleet.fair_share(backend),
-            max_fleet_share: slow_start.max_fleet_share(backend),
-            rotation_slot: rotation.slot(backend.endpoint.id, slow_start.now),
+            fair_share: slow_start_limits.fleet.fair_share(backend),
+            max_fleet_share: slow_start_limits.max_fleet_share(backend),
+            rotation_slot: rotation.slot(backend.endpoint.id, slow_start_limits.now),
         }
     }
 }
@@ -94,11 +96,11 @@
     proxy_limit.update(fleet.backends.values().map(fleet_limit).sum(), proxy_count);
     let zones = ZonePreference::new(config, fleet);
     let rotation = Rotation::new(config, CONCURRENCY_ROTATION_PERIOD);
-    let slow_start = SlowStart { config, fleet, now, proxy_rate };
+    let slow_start_limits = SlowStartLimits { config, fleet, now, proxy_rate };
     let inputs: Vec<AllocationInputs> = fleet
         .backends
         .values()
-        .map(|backend| AllocationInputs::of(&slow_start, &rotation, backend))
+        .map(|backend| AllocationInputs::of(&slow_start_limits, &rotation, backend))
         .collect();
     fleet.kinds.values_mut().for_each(|kind| kind.selection_table.clear());
     for ((&id, backend), inputs) in fleet.backends.iter_mut().zip(inputs) {
--- a/src/balancer/wakeup.rs
+++ b/src/balancer/wakeup.rs
@@ -10,12 +10,12 @@
     /// Token of the last timer that was set.
     token: TimerToken,
     /// The wake-up for which that timer was set; `None` after it has fired.
-    pending: Option<Time>,
+    timer_due: Option<Time>,
 }
 
 impl Wakeup {
     pub fn new() -> Wakeup {
-        Wakeup { due: Time(0), token: TimerToken(0), pending: None }
+        Wakeup { due: Time(0), token: TimerToken(0), timer_due: None }
     }
 
     /// Schedules a wake-up at `at`, or keeps an earlier one.
@@ -37,19 +37,20 @@
     pub fn timer_fired(&mut self, token: TimerToken) -> bool {
         let is_current = token == self.token;
         if is_current {
-            self.pending = None;
+            self.timer_due = None;
         }
         is_current
     }
 
-    /// Sets a timer if none is pending that fires by the next wake-up. The delay is at least one tick.
+    /// Sets a timer for the next wake-up, unless the timer set last fires by then. The delay is at least one
+    /// tick.
     pub fn set_timer(&mut self, now: Time, tick: Micros, actions: &mut Vec<Action>) {
-        let is_covered = self.pending.is_some_and(|pending| self.due >= pending);
+        let is_covered = self.timer_due.is_some_and(|timer_due| self.due >= timer_due);
         if is_covered || self.due == Time::NEVER {
             return;
         }
         self.token = TimerToken(self.token.0 + 1);
-        self.pending = Some(self.due);
+        self.timer_due = Some(self.due);
         let delay = (self.due - now).max(tick);
         actions.push(Action::SetTimer { token: self.token, delay });
     }
--- a/src/config.rs
+++ b/src/config.rs
@@ -34,9 +34,10 @@
     pub max_attempts: u32,
     /// Whether attempts may be cancelled.
     pub can_cancel: bool,
-    /// Whether two attempts of one request may be in flight at once.
+    /// Whether two attempts of one request may be in flight at the same time.
     pub hedging_allowed: bool,
-    /// Minimum time between two rounds of events, and so the shortest timer; above 0.
+    /// Minimum time between two batches of events from the host, and so the shortest delay of a timer;
+    /// above 0.
     pub tick: Micros,
     /// Minimum fraction of its capacity that a backend has when it starts, from 0 to 1.
     pub slow_start_initial_fraction: f64,
@@ -198,7 +199,8 @@
     /// Changes arrive without a call.
     Push,
     /// Changes arrive after [`Action::Resubscribe`](crate::Action::Resubscribe). The value is the poll
-    /// interval: a proxy that has not called for this long counts as notified of every change.
+    /// interval, within which a proxy has to call: one that has not called for this long counts as notified
+    /// of every change.
     Subscribe(Micros),
 }
 
--- a/src/estimators/running_mean.rs
+++ b/src/estimators/running_mean.rs
@@ -15,8 +15,8 @@
         self.mean += (sample - self.mean) / self.samples;
     }
 
-    /// The mean, or zero before the first sample.
-    pub fn value(&self) -> f64 {
+    /// Returns zero before the first sample.
+    pub fn mean_or_zero(&self) -> f64 {
         self.mean
     }
 
@@ -25,8 +25,8 @@
         self.samples
     }
 
-    /// The mean, or `None` before the first sample.
-    pub fn get(&self) -> Option<f64> {
+    /// Returns `None` before the first sample.
+    pub fn mean(&self) -> Option<f64> {
         (self.samples > 0.0).then_some(self.mean)
     }
 
--- a/src/event.rs
+++ b/src/event.rs
@@ -16,12 +16,12 @@
     },
     /// A client's request arrived. It is pending until its one final response.
     RequestArrived(RequestArrival),
-    /// Replaces the active configuration. Later events number classes and tenants by the new one. Pending
+    /// Replaces the active configuration. Later events index classes and tenants by the new one. Pending
     /// requests keep the class settings with which they arrived. A configuration that does not
     /// [validate](crate::Config::validate) changes nothing.
     ConfigReplaced(Box<ConfigUpdate>),
     /// The host has begun to stream the response of this attempt to the client: from now on the request is
-    /// neither hedged nor given up on a time-out. Reported only by hosts that forward responses before their
+    /// neither hedged nor given up on a timeout. Reported only by hosts that forward responses before their
     /// end.
     ResponseStarted {
         /// The request.
@@ -31,8 +31,8 @@
     },
     /// An attempt ended.
     AttemptEnded(AttemptResult),
-    /// The client disconnected, or the host answered it without the balancer: the request is no longer
-    /// pending.
+    /// The client disconnected, or the host answered the request without the balancer: the request is no
+    /// longer pending.
     ClientDisconnected {
         /// The request.
         request: RequestId,
@@ -86,7 +86,7 @@
 pub enum Outcome {
     /// The backend served the request.
     Success,
-    /// The backend answered with an error. The request may have been executed.
+    /// The backend responded with an error. The request may have been executed.
     ErrorResponse,
     /// The backend rejected the request without executing it.
     Rejected,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,10 +1,10 @@
-//! Load-balancing decisions for a proxy in front of a fleet of HTTP servers, and the code that the programs
-//! which host them share.
+//! Load-balancing decisions for a proxy in front of a fleet of HTTP servers, and the code shared by the
+//! programs that host the balancer.
 //!
 //! [`Balancer`] is a sans-IO state machine without clock, network or threads: a host passes it each [`Event`]
 //! with the time at which it happened and carries out the [`Action`]s it returns. [`wire`] decodes settings
 //! and endpoint lists into the types of this crate, [`discovery`] watches the endpoint list, and [`net`]
-//! opens connections.
+//! opens connections and computes backoffs.
 
 mod action;
 mod backend;
