--- a/scale/src/backends/fleet.rs
+++ b/scale/src/backends/fleet.rs
@@ -138,7 +138,6 @@
             counters.late_requests += u64::from(is_late);
             return BackendResponse::Rejected;
         }
-        // Uniform between 0.5 and 1.5 times the mean.
         let factor = 0.5 + self.random.uniform_inclusive();
         BackendResponse::Served(behavior.mean_service_time.mul_f64(factor))
     }
--- a/scale/src/balancer_point/host.rs
+++ b/scale/src/balancer_point/host.rs
@@ -20,7 +20,7 @@
 struct OpenRequest {
     attempt_count: u32,
     in_flight: u32,
-    is_answered: bool,
+    has_final_response: bool,
 }
 
 /// The scheduled end of an attempt in flight, ordered by time, then by request.
@@ -90,7 +90,7 @@
     fn execute(&mut self, action: Action) {
         match action {
             Action::Dispatch { request, .. } => self.dispatch(request),
-            Action::Reject { request } | Action::Fail { request } => self.mark_answered(request),
+            Action::Reject { request } | Action::Fail { request } => self.record_final_response(request),
             Action::SetTimer { token, delay } => self.timers.set(self.now + delay.max(self.tick), token),
             Action::CancelAttempt { .. } | Action::Resubscribe | Action::Log(_) => {}
         }
@@ -150,9 +150,9 @@
     }
 
     /// Records the final response to a request, and removes the request if no attempt is in flight.
-    fn mark_answered(&mut self, request: RequestId) {
+    fn record_final_response(&mut self, request: RequestId) {
         let Some(open) = self.requests.get_mut(&request) else { return };
-        open.is_answered = true;
+        open.has_final_response = true;
         if open.in_flight == 0 {
             self.requests.remove(&request);
         }
@@ -172,6 +172,6 @@
             latency: self.now - end.dispatched_at,
             answered: true,
         }));
-        self.mark_answered(end.request);
+        self.record_final_response(end.request);
     }
 }
--- a/scale/src/discovery/call_queue.rs
+++ b/scale/src/discovery/call_queue.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 use tokio::time::{sleep_until, Instant};
 
-/// Processing cost of calls, and the queue for them.
+/// Processing time of calls, and capacity of the queue for them.
 #[derive(Clone, Copy, Debug)]
 pub struct CallCosts {
     /// Processing time per call.
--- a/scale/src/discovery/server.rs
+++ b/scale/src/discovery/server.rs
@@ -210,7 +210,8 @@
         self.require_serving().await
     }
 
-    /// Waits until the current version differs from `after` or the wait has elapsed; both cases are answered.
+    /// Waits until the current version differs from `after` or the wait has elapsed. Fails if the service
+    /// rejects calls.
     async fn wait_for_change(&self, after: u64, wait: Duration) -> Result<(), CallError> {
         let mut versions = self.versions.clone();
         let mut behavior = self.behavior.subscribe();
--- a/scale/src/lib.rs
+++ b/scale/src/lib.rs
@@ -2,7 +2,7 @@
 //! and reports the cost of each size. A plan runs each of its points with processes of the real proxy, with
 //! many simulated proxies in one process that use the same balancer, or with one balancer without I/O.
 //!
-//! The modules form layers. Each module uses only modules of its own layer and of the layers above it:
+//! The modules form layers. A module uses only modules of its own layer and of those above it in the table:
 //!
 //! | layer | modules |
 //! | --- | --- |
--- a/scale/src/linear_fit.rs
+++ b/scale/src/linear_fit.rs
@@ -1,4 +1,4 @@
-//! Linear fit through all points but the largest, and the deviation of the largest from it. A figure that
+//! Linear fit to all points but the largest, and the deviation of the largest from it. A figure that
 //! grows faster than linearly with the size has a large deviation.
 
 use crate::point_result::PointResult;
@@ -32,7 +32,7 @@
 }
 
 /// Fits a line to a figure over all results but the one of the largest size, and predicts that one. Returns
-/// `None` if there are fewer than three results or one of them lacks the figure.
+/// `None` if a result lacks the figure, or if the results that are fitted have fewer than two sizes.
 pub fn predict(results: &[PointResult], figure: &str) -> Option<Prediction> {
     let sample = |result: &PointResult| Some(Sample { size: result.size, value: result.figure(figure)? });
     let mut samples = results.iter().map(sample).collect::<Option<Vec<Sample>>>()?;
--- a/scale/src/machine_limits.rs
+++ b/scale/src/machine_limits.rs
@@ -153,7 +153,8 @@
 fn descriptors_needed(kind: PlanKind, point: &Point) -> u64 {
     let proxies = u64::from(point.proxies);
     match kind {
-        // One listener per backend, the clients' connections, and the accepted connections of the proxies.
+        // One listener per backend, the clients' connections, and those that the backends accept from the
+        // proxies.
         PlanKind::Real => {
             let per_proxy = DESCRIPTORS_PER_PROXY + 2 * u64::from(point.connections);
             RESERVED_DESCRIPTORS + u64::from(point.backends) + proxies * per_proxy
--- a/scale/src/phase.rs
+++ b/scale/src/phase.rs
@@ -58,7 +58,7 @@
     }
 
     /// Returns the CPU time per unit, in microseconds, without the CPU time that `rest` would take in the
-    /// same duration. Returns `None` for 0 units or if the CPU time could not be read.
+    /// same duration, if that is known. Returns `None` for 0 units or if the CPU time could not be read.
     pub fn cpu_us_per_unit(&self, rest: &MeasuredPhase, units: f64) -> Option<f64> {
         let above_rest = self.cpu_time_s? - rest.cpu_utilization().unwrap_or(0.0) * self.seconds;
         (units > 0.0).then_some(above_rest / units * 1e6)
--- a/scale/src/plan.rs
+++ b/scale/src/plan.rs
@@ -89,7 +89,7 @@
     /// Requests per second that a backend can serve after slow start; its limit during slow start derives
     /// from it.
     pub capacity_per_s: f64,
-    /// Maximum number of sockets of a real proxy.
+    /// Maximum number of open file descriptors of a real proxy.
     pub sockets: u32,
     /// Whether real proxies start with the endpoint list as their cached list.
     pub known: bool,
--- a/scale/src/platform.rs
+++ b/scale/src/platform.rs
@@ -43,12 +43,12 @@
     pub drain_notice_limit: Duration,
     /// Index of the proxy as a fraction of the fleet's size, from 0 (inclusive) to 1 (exclusive).
     pub fleet_position: f64,
-    /// Requests the next subscription call.
+    /// Notified when the balancer requests a subscription.
     pub resubscribe: Rc<Notify>,
-    /// Reads the proxy's clock.
+    /// Clock of the proxy.
     pub now: Box<dyn Fn() -> Time>,
-    /// Receives each update, in order.
-    pub deliver: Box<dyn Fn(EndpointListUpdate, Vec<Backend>)>,
+    /// Called with each update, in order.
+    pub on_update: Box<dyn Fn(EndpointListUpdate, Vec<Backend>)>,
 }
 
 /// Starts the library's watch as a local task; it runs until it is aborted.
@@ -58,7 +58,7 @@
         drain_notice_limit: options.drain_notice_limit,
         fleet_position: options.fleet_position,
     };
-    let deliver = options.deliver;
+    let on_update = options.on_update;
     let watch = Watch {
         address: options.address,
         mode: options.mode,
@@ -67,7 +67,7 @@
         resubscribe: options.resubscribe,
         now: options.now,
         start_times: StartTimes::default(),
-        on_update: Box::new(move |update, endpoints| deliver(update, backends(endpoints))),
+        on_update: Box::new(move |update, endpoints| on_update(update, backends(endpoints))),
     };
     tokio::task::spawn_local(watch.run())
 }
--- a/scale/src/proxy_process.rs
+++ b/scale/src/proxy_process.rs
@@ -20,7 +20,7 @@
 /// Error while starting or signalling a process.
 #[derive(Debug, thiserror::Error)]
 pub enum ProcessError {
-    /// A configuration file could not be written, or the program not be run.
+    /// A configuration file could not be written, or the program could not be run.
     #[error("{}: {source}", path.display())]
     File {
         /// Path of the file.
@@ -31,8 +31,8 @@
     /// There is no pipe to the child's standard error.
     #[error("no pipe to the standard error of the proxy")]
     NoStandardError,
-    /// The proxy did not log its listen address in time.
-    #[error("proxy {number}: did not log its listen address in time")]
+    /// The proxy exited, or did not log its listen address within the timeout.
+    #[error("proxy {number}: exited, or did not log its listen address within {START_TIMEOUT:?}")]
     ListenTimeout {
         /// Index of the proxy.
         number: u32,
--- a/scale/src/real_point/measurements.rs
+++ b/scale/src/real_point/measurements.rs
@@ -20,7 +20,7 @@
     pub load: MeasuredPhase,
     pub clients: ClientCounters,
     pub backends: BackendCounters,
-    /// Counts over all phases; the peaks are those of the load phase.
+    /// Counts over all phases; the peaks are those since the start of the load phase.
     pub discovery: DiscoveryCounters,
     /// Exit code of each proxy; `None` if a signal ended it or it did not exit in time.
     pub exit_codes: Vec<Option<i32>>,
--- a/scale/src/real_point/program.rs
+++ b/scale/src/real_point/program.rs
@@ -42,7 +42,7 @@
 }
 
 impl WorkDirectory {
-    /// Creates a directory that is named after this process's id.
+    /// Creates the directory in the system's temporary directory, named after this process's id.
     pub fn create() -> Result<WorkDirectory, WorkDirectoryError> {
         let path = std::env::temp_dir().join(format!("scale-test-{}", std::process::id()));
         match std::fs::create_dir_all(&path) {
--- a/scale/src/simulated_point/figures.rs
+++ b/scale/src/simulated_point/figures.rs
@@ -86,7 +86,7 @@
     let Measurements { proxies, backends, ready_at_start, .. } = measurements;
     let proxy_count = u64::from(point.proxies);
     let ready_at_end = proxies.time_to_ready.count();
-    let answers = proxies.served + proxies.rejected + proxies.failed;
+    let final_responses = proxies.served + proxies.rejected + proxies.failed;
     let expected = proxies.planned - proxies.dropped_at_restart;
     vec![
         Check {
@@ -95,11 +95,13 @@
             observed: format!("{ready_at_start} of {proxy_count}, {ready_at_end} at the end"),
         },
         Check {
-            name: "every request that a ready proxy receives gets exactly one final answer",
-            passed: answers == expected && proxies.unanswered == 0 && proxies.duplicate_answers == 0,
+            name: "every request that a ready proxy receives gets exactly one final response",
+            passed: final_responses == expected
+                && proxies.unanswered == 0
+                && proxies.duplicate_responses == 0,
             observed: format!(
-                "{answers} answers to {expected} requests, {} duplicate answers",
-                proxies.duplicate_answers
+                "{final_responses} final responses to {expected} requests, {} duplicates",
+                proxies.duplicate_responses
             ),
         },
         backends.drain_check(),
--- a/scale/src/simulated_point/measurements.rs
+++ b/scale/src/simulated_point/measurements.rs
@@ -6,7 +6,7 @@
 use crate::simulated_proxy::ProxyCounters;
 
 pub(super) struct Measurements {
-    /// Increase of this process's resident memory by the start of all proxies, in bytes.
+    /// Increase of this process's resident memory during the start of all proxies, in bytes.
     pub memory: Option<f64>,
     /// Proxies with a list that contains a ready backend, at the end of the start phase.
     pub ready_at_start: u64,
--- a/scale/src/simulated_proxy/counters.rs
+++ b/scale/src/simulated_proxy/counters.rs
@@ -9,7 +9,7 @@
 pub struct ProxyCounters {
     /// Requests that arrived at ready proxies.
     pub planned: u64,
-    /// Requests answered with the response of a backend.
+    /// Requests whose final response is that of a backend.
     pub served: u64,
     /// Requests that the balancer rejected.
     pub rejected: u64,
@@ -18,7 +18,7 @@
     /// Requests without a final response by the end of the grace period after their deadline.
     pub unanswered: u64,
     /// Rejections and failures of requests that already had a final response.
-    pub duplicate_answers: u64,
+    pub duplicate_responses: u64,
     /// Requests that arrived at proxies that were not ready, and were dropped. A platform would not route
     /// requests to these proxies.
     pub arrived_before_ready: u64,
@@ -42,7 +42,7 @@
             rejected: 0,
             failed: 0,
             unanswered: 0,
-            duplicate_answers: 0,
+            duplicate_responses: 0,
             arrived_before_ready: 0,
             dropped_at_restart: 0,
             attempts: 0,
--- a/scale/src/simulated_proxy/endpoint_watch.rs
+++ b/scale/src/simulated_proxy/endpoint_watch.rs
@@ -41,7 +41,7 @@
             fleet_position: config.fleet_position(),
             resubscribe: resubscribe.clone(),
             now: Box::new(move || clock.now()),
-            deliver: Box::new(move |update, backends| {
+            on_update: Box::new(move |update, backends| {
                 if sender.try_send(EndpointListChange { update, backends }).is_err() {
                     tracing::error!(
                         "endpoint list change dropped: the queue of a simulated proxy is full or closed"
@@ -57,7 +57,7 @@
         self.changes.recv().await
     }
 
-    /// Requests the next subscription call.
+    /// Passes on the balancer's request for a subscription.
     pub fn resubscribe(&self) {
         self.resubscribe.notify_one();
     }
--- a/scale/src/simulated_proxy/proxy/arrivals.rs
+++ b/scale/src/simulated_proxy/proxy/arrivals.rs
@@ -52,7 +52,7 @@
             deadline,
             attempt_count: 0,
             in_flight: HashMap::new(),
-            is_answered: false,
+            has_final_response: false,
         };
         self.requests.insert(request, open);
     }
--- a/scale/src/simulated_proxy/proxy/attempts.rs
+++ b/scale/src/simulated_proxy/proxy/attempts.rs
@@ -32,7 +32,8 @@
         let Some(open) = self.requests.get_mut(&request) else { return };
         let attempt = AttemptNumber(open.attempt_count);
         open.attempt_count += 1;
-        let can_be_sent = !open.is_answered && open.deadline > now && self.ready_backends.contains(&backend);
+        let can_be_sent =
+            !open.has_final_response && open.deadline > now && self.ready_backends.contains(&backend);
         let backend_number = self.context.backend_numbers.get(&backend).filter(|_| can_be_sent);
         let Some(backend_number) = backend_number else {
             return self.attempt_ended(request, attempt, Outcome::NotSent, Micros(0));
@@ -70,8 +71,8 @@
             ResponseKind::Served => Outcome::Success,
             ResponseKind::Rejected => Outcome::Rejected,
         };
-        if outcome == Outcome::Success && !open.is_answered {
-            open.is_answered = true;
+        if outcome == Outcome::Success && !open.has_final_response {
+            open.has_final_response = true;
             let latency = now - open.arrived_at;
             let mut counters = self.context.counters.lock();
             counters.served += 1;
@@ -90,7 +91,7 @@
     pub(super) fn attempt_ended(
         &mut self, request: RequestId, attempt: AttemptNumber, outcome: Outcome, latency: Micros,
     ) {
-        let answered = self.requests.get(&request).is_none_or(|open| open.is_answered);
+        let answered = self.requests.get(&request).is_none_or(|open| open.has_final_response);
         self.events.push(Event::AttemptEnded(AttemptResult { request, attempt, outcome, latency, answered }));
     }
 }
--- a/scale/src/simulated_proxy/proxy/deadlines.rs
+++ b/scale/src/simulated_proxy/proxy/deadlines.rs
@@ -3,8 +3,8 @@
 use super::Proxy;
 use load_balancer::{AttemptNumber, Event, Micros, Outcome, RequestId, Time};
 
-/// Grace period after a request's deadline, in ticks. A request without a final response by its end counts as
-/// unanswered.
+/// Grace period after a request's deadline, in ticks. A request that is pending at the end of the grace
+/// period counts as unanswered.
 const GRACE_TICKS: u64 = 4;
 
 /// The deadline of a request, or the end of the grace period after it. Ordered by time, then by request.
@@ -38,7 +38,7 @@
 
     fn close_request(&mut self, request: RequestId) {
         let Some(open) = self.requests.remove(&request) else { return };
-        if !open.is_answered {
+        if !open.has_final_response {
             self.context.counters.lock().unanswered += 1;
             self.events.push(Event::ClientDisconnected { request });
         }
--- a/scale/src/simulated_proxy/proxy/decisions.rs
+++ b/scale/src/simulated_proxy/proxy/decisions.rs
@@ -37,8 +37,10 @@
     fn execute(&mut self, now: Time, action: Action) {
         match action {
             Action::Dispatch { request, backend, .. } => self.dispatch(now, request, backend),
-            Action::Reject { request } => self.record_answer(request, |counters| counters.rejected += 1),
-            Action::Fail { request } => self.record_answer(request, |counters| counters.failed += 1),
+            Action::Reject { request } => {
+                self.record_final_response(request, |counters| counters.rejected += 1);
+            }
+            Action::Fail { request } => self.record_final_response(request, |counters| counters.failed += 1),
             Action::CancelAttempt { request, attempt } => self.cancel_attempt(now, request, attempt),
             Action::SetTimer { token, delay } => self.timers.set(now + delay, token),
             Action::Resubscribe => self.endpoint_watch.resubscribe(),
@@ -46,14 +48,14 @@
         }
     }
 
-    /// Counts a final response of the balancer, or a duplicate if the request already has one.
-    fn record_answer(&mut self, request: RequestId, count: impl FnOnce(&mut ProxyCounters)) {
+    /// Counts a final response by the balancer, or a duplicate if the request already has one.
+    fn record_final_response(&mut self, request: RequestId, count: impl FnOnce(&mut ProxyCounters)) {
         let Some(open) = self.requests.get_mut(&request) else { return };
         let mut counters = self.context.counters.lock();
-        if open.is_answered {
-            counters.duplicate_answers += 1;
+        if open.has_final_response {
+            counters.duplicate_responses += 1;
         } else {
-            open.is_answered = true;
+            open.has_final_response = true;
             count(&mut counters);
         }
     }
--- a/scale/src/simulated_proxy/proxy/mod.rs
+++ b/scale/src/simulated_proxy/proxy/mod.rs
@@ -35,7 +35,7 @@
     /// Dispatch time of each attempt in flight.
     in_flight: HashMap<AttemptNumber, Time>,
     /// Whether the request has its final response.
-    is_answered: bool,
+    has_final_response: bool,
 }
 
 /// A simulated proxy.
@@ -120,14 +120,14 @@
                 () = tokio::time::sleep_until(wakeup) => {}
             }
             self.run_due_work();
-            if *self.context.activity.borrow() == ProxyActivity::Shutdown && self.has_answered_all() {
+            if *self.context.activity.borrow() == ProxyActivity::Shutdown && self.all_have_final_response() {
                 return;
             }
         }
     }
 
-    fn has_answered_all(&self) -> bool {
-        self.requests.values().all(|request| request.is_answered)
+    fn all_have_final_response(&self) -> bool {
+        self.requests.values().all(|request| request.has_final_response)
     }
 
     fn activity_changed(&mut self, activity: ProxyActivity) {
@@ -140,7 +140,7 @@
     /// Replaces the proxy by a new one without a list, as a restart of the process would, with a different
     /// seed for each restart. Arrivals continue.
     fn restart(self, restart_count: u32) -> Result<Proxy, SimulationError> {
-        let dropped_at_restart = self.requests.values().filter(|request| !request.is_answered).count();
+        let dropped_at_restart = self.requests.values().filter(|request| !request.has_final_response).count();
         self.context.counters.lock().dropped_at_restart += dropped_at_restart as u64;
         let mut context = self.context.clone();
         context.point.seed = context.point.seed.wrapping_add(u64::from(restart_count));
--- a/scale/tests/backends.rs
+++ b/scale/tests/backends.rs
@@ -30,7 +30,11 @@
     for _ in 0..200 {
         assert!(matches!(fleet.request_arrived(0, now), BackendResponse::Served(_)));
     }
-    assert!((fleet.counters().slow_start_peak_ratio - 200.0 / limit).abs() < 1e-9, "{:?}", fleet.counters());
+    assert!(
+        (fleet.counters().slow_start_peak_ratio - 200.0 / limit).abs() < 1e-9,
+        "the peak is not 200 requests divided by the limit: {:?}",
+        fleet.counters()
+    );
     fleet.drain(1);
     assert_eq!(fleet.request_arrived(1, Instant::now()), BackendResponse::Rejected);
     assert_eq!((fleet.counters().rejected, fleet.counters().late_requests), (1, 0));
--- a/scale/tests/discovery.rs
+++ b/scale/tests/discovery.rs
@@ -125,7 +125,7 @@
     assert_eq!(statuses, [200, 200, 200, 503, 503, 503]);
     assert!(
         started_at.elapsed() >= Duration::from_millis(400),
-        "three calls of 200 ms, the first of which started earlier"
+        "three calls of 200 ms each, run one after another, took less than 400 ms"
     );
     let counters = discovery.counters();
     assert_eq!((counters.calls, counters.lists, counters.rejected, counters.longest_queue), (6, 3, 3, 3));
--- a/scale/tests/plans.rs
+++ b/scale/tests/plans.rs
@@ -76,13 +76,22 @@
     };
     assert!(machine_limits::check(&parse_valid(&with_point("")), SMALL_MACHINE).is_ok());
     let line = machine_error(&with_point("proxies = 200\nconnections = 1"));
-    assert!(line.starts_with("points[0].proxies: expected fewer than 200 processes"), "{line}");
+    assert!(
+        line.starts_with("points[0].proxies: expected fewer than 200 processes"),
+        "unexpected error: {line}"
+    );
     let line = machine_error(&with_point("proxies = 100"));
-    assert!(line.starts_with("points[0].proxies: expected at most 1000 MB of memory"), "{line}");
+    assert!(
+        line.starts_with("points[0].proxies: expected at most 1000 MB of memory"),
+        "unexpected error: {line}"
+    );
     let line = machine_error(&with_point("").replace("= 20", "= 5000"));
-    assert!(line.starts_with("points[0].backends: expected at most 4096 file descriptors"), "{line}");
+    assert!(
+        line.starts_with("points[0].backends: expected at most 4096 file descriptors"),
+        "unexpected error: {line}"
+    );
     let line = machine_error(&with_point("load_s = 900"));
-    assert!(line.starts_with("longest_s: expected at least 9"), "{line}");
+    assert!(line.starts_with("longest_s: expected at least 9"), "unexpected error: {line}");
 }
 
 #[test]
--- a/scale/tests/simulated_proxies.rs
+++ b/scale/tests/simulated_proxies.rs
@@ -21,13 +21,22 @@
 }
 
 #[test]
-fn proxies_receive_their_list_and_answer_every_request() {
+fn proxies_receive_their_list_and_respond_to_every_request() {
     let result = run_point("load_s = 2");
     assert_checks_hold(&result);
-    assert!(result.figure("served").is_some_and(|value| value > 100.0), "{result:?}");
+    assert!(
+        result.figure("served").is_some_and(|value| value > 100.0),
+        "too few requests served: {result:?}"
+    );
     // One list call per proxy, plus the watch calls that start before the last proxy is ready.
-    assert!(result.figure("start_calls").is_some_and(|value| (12.0..=24.0).contains(&value)), "{result:?}");
-    assert!(result.figure("change_bytes_per_s").is_some_and(|value| value > 0.0), "{result:?}");
+    assert!(
+        result.figure("start_calls").is_some_and(|value| (12.0..=24.0).contains(&value)),
+        "wrong number of calls at the start: {result:?}"
+    );
+    assert!(
+        result.figure("change_bytes_per_s").is_some_and(|value| value > 0.0),
+        "no bytes for changed entries: {result:?}"
+    );
 }
 
 #[test]
@@ -35,6 +44,12 @@
     let events = "events = [{ at_s = 0.5, what = \"return\" }, { at_s = 2, what = \"release\", for_s = 5 }]";
     let result = run_point(&format!("load_s = 9\ndrain_slack_s = 6\n{events}"));
     assert_checks_hold(&result);
-    assert!(result.figure("load_lists").is_some_and(|value| value >= 12.0), "{result:?}");
-    assert!(result.figure("cold_sum_of_limit").is_some_and(|value| value > 0.0), "{result:?}");
+    assert!(
+        result.figure("load_lists").is_some_and(|value| value >= 12.0),
+        "not every proxy requested the list again: {result:?}"
+    );
+    assert!(
+        result.figure("cold_sum_of_limit").is_some_and(|value| value > 0.0),
+        "no request to a backend in slow start: {result:?}"
+    );
 }
--- a/src/bin/simulator-adapter/error.rs
+++ b/src/bin/simulator-adapter/error.rs
@@ -38,7 +38,7 @@
     /// The message is only allowed within a batch.
     #[error("{message} outside a batch: expected {BATCH_START} first")]
     OutsideBatch { message: &'static str },
-    /// A value has the wrong type or is out of range; `position` counts from 0.
+    /// A value has the wrong type or is out of range; `position` counts from 0, without the message name.
     #[error("{message}: value {position}: expected {expected}, got {got}")]
     InvalidValue { message: &'static str, position: usize, expected: &'static str, got: String },
     /// An entry of an endpoint list is malformed.
--- a/src/bin/simulator-adapter/events.rs
+++ b/src/bin/simulator-adapter/events.rs
@@ -1,4 +1,4 @@
-//! Translates messages to an instance into events for its balancer.
+//! Translates the messages that an instance receives into events for its balancer.
 
 use crate::endpoint_lists::EndpointLists;
 use crate::error::ProtocolError;
--- a/src/discovery/call_times.rs
+++ b/src/discovery/call_times.rs
@@ -1,36 +1,36 @@
 //! Timeouts of calls to discovery and the backoff between calls.
 //!
-//! A call can be lost without an error. The timeout must detect this early enough that the next call is
-//! answered before the platform considers the proxy notified of the changes it missed. For a subscribed list
-//! this means change wait + grace + next call <= 6 s. A pushed list comes from an agent on the proxy's own
-//! machine, where calls put no load on a shared service; there the limit is the time within which requests to
-//! a draining backend must stop.
+//! A call can be lost without an error. The timeout must detect this early enough that the next call gets
+//! its response before the platform considers the proxy notified of the changes that it missed. For a
+//! subscribed list this means change wait + grace + next call <= 6 s. A pushed list comes from an agent on
+//! the proxy's own machine; there the limit is the time within which requests to a draining backend must
+//! stop.
 
 use super::watch::WatchSettings;
 use crate::config::DiscoveryMode;
 use std::time::Duration;
 
-/// A call for a pushed list waits for changes for the drain notice limit divided by this. The platform
-/// considers the proxy notified as soon as the agent has a change, even if the call is lost.
+/// The change wait of a pushed list is the drain notice limit divided by this. The platform considers the
+/// proxy notified as soon as the agent has a change, even if the call is lost.
 const PUSH_WAIT_DIVISOR: u32 = 2;
-/// The agent may take the drain notice limit divided by this to answer.
+/// The grace of a pushed list is the drain notice limit divided by this.
 const PUSH_GRACE_DIVISOR: u32 = 4;
 /// The backoff is at most the drain notice limit divided by this.
 const MAX_BACKOFF_DIVISOR: u32 = 4;
 /// The platform considers a proxy notified of a change this long after discovery has the change and is
 /// reachable.
 const NOTIFICATION_DEADLINE: Duration = Duration::from_secs(6);
-/// Delay of a response, beyond the wait, after which a call to the fleet's discovery service counts as lost.
+/// The grace of calls to the fleet's discovery service.
 const POLL_GRACE: Duration = Duration::from_millis(1500);
 /// Time allowed for the call after a lost one: connecting, queueing at the service and the response.
 const NEXT_CALL_TIME: Duration = Duration::from_secs(1);
-/// Longest wait for changes at the fleet's discovery service. It is as long as the limits allow, because
-/// every call puts load on the service.
+/// Longest change wait of calls to the fleet's discovery service: as long as the limits allow, because every
+/// call puts load on the service.
 const MAX_POLL_WAIT: Duration =
     NOTIFICATION_DEADLINE.saturating_sub(POLL_GRACE).saturating_sub(NEXT_CALL_TIME);
-/// Fraction of the wait by which the proxies of a fleet stagger their waits. A change answers all pending
-/// calls at once. With equal waits, all proxies would also detect an unresponsive service at once, and their
-/// next calls would queue there for too long.
+/// The waits of a fleet's proxies are spread over this fraction of the longest wait. A change completes the
+/// calls of all proxies at the same time. With equal waits, all proxies would then also detect an
+/// unresponsive service at the same time, and their next calls would queue there for too long.
 const POLL_SPREAD: f64 = 0.5;
 /// Time that a call for a snapshot may queue at the service. After a reload, the platform considers the proxy
 /// notified 4 s after the signal; this plus the grace is less.
--- a/src/discovery/start_times.rs
+++ b/src/discovery/start_times.rs
@@ -1,10 +1,11 @@
 //! Converts start times of backends to the clock of this process.
 //!
 //! The endpoint list gives start times in wall clock time. The wall clock of this machine may be off by any
-//! amount, so it is not read here; a start time is bounded by the arrival of lists alone. A backend starts no
-//! later than the first list that contains it arrives, and no earlier than the last list without it arrived.
-//! An estimate that is too late delays the end of the backend's slow start; one that is too early cuts its
-//! slow start short.
+//! amount, so it is not read here; start times are estimated from the arrival times of lists. A start lies
+//! between the arrivals of the last list without it and of the first list with it. The estimate is the
+//! listed time plus the upper bound of the difference between the clocks, limited to that interval. An
+//! estimate that is too late delays the end of the backend's slow start; one that is too early cuts its slow
+//! start short.
 
 use crate::wire::endpoint_list::Endpoint;
 use crate::{BackendId, BackendState, Time};
--- a/src/discovery/watch.rs
+++ b/src/discovery/watch.rs
@@ -36,29 +36,31 @@
     pub settings: Rc<Cell<WatchSettings>>,
     /// Version of the current list. `None` makes the next call request a snapshot.
     pub version: Option<u64>,
-    /// Notified when the balancer requests a subscription. The watch on a pushed list ignores it.
+    /// Notified when the balancer requests a subscription. Ignored during a call and for a pushed list.
     pub resubscribe: Rc<Notify>,
     /// Clock of this process, to which the start times of backends are converted.
     pub now: Box<dyn Fn() -> Time>,
     /// Start times of the backends of the current list.
     pub start_times: StartTimes,
-    /// Called with every update of the list, in order. The endpoints are empty for a lost subscription.
+    /// Called with every update of the list, in order. The endpoints are empty for a lost subscription. An
+    /// empty delta of a pushed list is not reported.
     pub on_update: Box<dyn Fn(EndpointListUpdate, Vec<Endpoint>)>,
 }
 
 impl Watch {
-    /// Runs the watch. The future never completes.
+    /// Runs the watch. The future never completes. Each call is for the changes since the current version,
+    /// except where the table says "for a snapshot" or there is no version yet.
     ///
     /// | mode | event | next call |
     /// | --- | --- | --- |
     /// | push | start | immediately |
     /// | subscribe | start | when the balancer requests a subscription |
-    /// | both | endpoint list received | immediately, for changes |
-    /// | both | delta received with a lower version | immediately, for a snapshot |
+    /// | both | endpoint list received | immediately |
+    /// | both | delta received with a version below the current one | immediately, for a snapshot |
     /// | both | discovery address changed | immediately, for a snapshot; a backoff in progress ends first |
     /// | push | call failed | after a backoff, for a snapshot |
     /// | subscribe | call timed out, or first call after an address change failed | immediately |
-    /// | subscribe | call failed otherwise | when the balancer requests a subscription |
+    /// | subscribe | call failed for another reason | when the balancer requests a subscription |
     pub async fn run(self) {
         let waits_for_balancer = self.mode != DiscoveryMode::Push;
         let running = RunningWatch {
@@ -163,7 +165,7 @@
         }
     }
 
-    /// Requests a snapshot from the new address, because the old one may not have reported every change.
+    /// Makes the next call request a snapshot, because the old address may not have reported every change.
     fn address_changed(&mut self) {
         self.request_snapshot();
         self.is_first_call_after_address_change = true;
--- a/src/wire/endpoint_list.rs
+++ b/src/wire/endpoint_list.rs
@@ -10,10 +10,10 @@
 
 const MICROS_PER_MILLISECOND: u64 = 1000;
 
-/// An entry of the endpoint list.
+/// An entry of the endpoint list: a backend and its address.
 #[derive(Clone, Debug)]
 pub struct Endpoint {
-    /// The backend as the balancer sees it, without its address.
+    /// The backend, as passed to the balancer.
     pub backend: Backend,
     /// Address at which the proxy connects to the backend.
     pub address: SocketAddr,
--- a/src/wire/proxy_config.rs
+++ b/src/wire/proxy_config.rs
@@ -36,7 +36,7 @@
     /// Time within which requests to a backend must stop after discovery lists it as draining. `None` if the
     /// file does not set it.
     pub drain_notice_limit: Option<Micros>,
-    /// Number of requests that may be open at the same time.
+    /// Maximum number of requests that are open at the same time.
     pub max_open_requests: u32,
     /// Longest time that a backend keeps an idle connection open; it may close the connection earlier.
     pub idle_timeout: Micros,
