--- a/scale/src/point_result.rs
+++ b/scale/src/point_result.rs
@@ -37,7 +37,7 @@
 pub struct PointResult {
     /// Label of the point; may be empty.
     pub label: String,
-    /// Value of the field that the plan varies; set when the point has ended.
+    /// Value of the field that the plan varies; set by the `runner` module.
     pub size: f64,
     /// Measured figures, in the order of the report.
     pub figures: Vec<Figure>,
--- a/scale/src/real_point/processes.rs
+++ b/scale/src/real_point/processes.rs
@@ -82,7 +82,7 @@
     pub async fn shut_down(&self, longest_deadline: Duration) -> Vec<Option<i32>> {
         for process in self.processes.borrow().iter() {
             if let Err(error) = process.terminate() {
-                tracing::error!("shutdown of a proxy: {error}");
+                tracing::error!("cannot shut down a proxy: {error}");
             }
         }
         let limit = Instant::now() + longest_deadline + SHUTDOWN_GRACE;
--- a/src/discovery/call_times.rs
+++ b/src/discovery/call_times.rs
@@ -1,8 +1,9 @@
 //! Timeouts of calls to discovery and the backoff between calls.
 //!
-//! A call can be lost without an error. The timeout must detect this early enough that the next call gets
-//! its response before the platform considers the proxy notified of the changes that it missed. For a
-//! subscribed list this means change wait + grace + next call <= 6 s. A pushed list comes from an agent on
+//! The timeout of a call is the change wait, for which discovery holds the call until a change occurs, plus
+//! a grace, after which a late response counts as lost. It must detect a lost call early enough that the next
+//! call gets its response before the platform considers the proxy notified of the changes that it missed. For
+//! a subscribed list, this means change wait + grace + next call <= 6 s. A pushed list comes from an agent on
 //! the proxy's own machine; there the limit is the time within which requests to a draining backend must
 //! stop.
 
--- a/src/discovery/client.rs
+++ b/src/discovery/client.rs
@@ -83,8 +83,8 @@
 }
 
 impl Connection {
-    /// Connects within `timeout`. If this machine lacks a socket, an address or a route, retries without a
-    /// limit; the timeout of the call, which covers this, ends the retries.
+    /// Connects within `timeout`. If this machine lacks a socket, an address or a route, retries until the
+    /// timeout of the call drops this future.
     async fn open(address: SocketAddr, timeout: Duration) -> Result<Connection, DiscoveryError> {
         let stream = loop {
             match connect(address, timeout, || Some(())).await {
--- a/src/wire/names.rs
+++ b/src/wire/names.rs
@@ -37,9 +37,8 @@
         self.tenants.get(name).copied()
     }
 
-    /// Returns the update to `config`, whose classes and tenants have the names in `self`, from a
-    /// configuration with the names in `old`. Each class and tenant is mapped to its previous id, or to
-    /// `None` if it is new.
+    /// Returns the update from a configuration with the names in `old` to `config`, whose names are in
+    /// `self`. Each class and tenant of `config` is mapped to its previous id, or to `None` if it is new.
     pub fn config_update(&self, old: &Names, config: Config) -> ConfigUpdate {
         let mut previous_classes = vec![None; config.classes.len()];
         for (name, id) in &self.classes {
--- a/src/wire/proxy_config.rs
+++ b/src/wire/proxy_config.rs
@@ -45,8 +45,7 @@
 }
 
 impl ProxyConfigMessage {
-    /// Decodes the document; unknown keys are ignored. If several keys are invalid, the error names the one
-    /// that is checked first.
+    /// Decodes the document; unknown keys are ignored. Stops at the first invalid key that it finds.
     pub fn from_value(document: &Value) -> Result<ProxyConfigMessage, WireError> {
         let document = Object::root(document);
         let max_file_descriptors = document.object("limits").required("sockets")?;
