--- a/scale/src/simulated_proxy/endpoint_watch.rs
+++ b/scale/src/simulated_proxy/endpoint_watch.rs
@@ -44,7 +44,7 @@
             on_update: Box::new(move |update, backends| {
                 if sender.try_send(EndpointListChange { update, backends }).is_err() {
                     tracing::error!(
-                        "endpoint list change dropped: queue closed, or full with {CHANGE_QUEUE_CAPACITY} changes"
+                        "endpoint list change dropped: queue closed or full ({CHANGE_QUEUE_CAPACITY} changes)"
                     );
                 }
             }),
