--- a/src/wire/proxy_config.rs
+++ b/src/wire/proxy_config.rs
@@ -36,7 +36,7 @@
     /// Time within which requests to a backend must stop after discovery lists it as draining. `None` if the
     /// file does not set it.
     pub drain_notice_limit: Option<Micros>,
-    /// Number of requests that may be open at the same time.
+    /// Maximum number of requests that are open at the same time.
     pub max_open_requests: u32,
     /// Longest time that a backend keeps an idle connection open; it may close the connection earlier.
     pub idle_timeout: Micros,
@@ -45,8 +45,7 @@
 }
 
 impl ProxyConfigMessage {
-    /// Decodes the document; unknown keys are ignored. If several keys are invalid, the error names the one
-    /// that is checked first.
+    /// Decodes the document; unknown keys are ignored. Stops at the first invalid key that it finds.
     pub fn from_value(document: &Value) -> Result<ProxyConfigMessage, WireError> {
         let document = Object::root(document);
         let max_file_descriptors = document.object("limits").required("sockets")?;
