--- a/src/bin/load-balancer-proxy/clock.rs
+++ b/src/bin/load-balancer-proxy/clock.rs
@@ -1,13 +1,13 @@
 //! The clock of the process, in microseconds since the Unix epoch.
 //!
-//! Its offset is fixed when the process starts and may be arbitrarily wrong, so timestamps of other machines
-//! are never compared with it.
+//! It is set from the wall clock when the process starts. The wall clock may be wrong by any amount, so
+//! timestamps of other machines are never compared with this clock.
 
 use load_balancer::{Micros, Time};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
-/// How far in the future an instant returned by [`Clock::instant`] may be at most.
+/// Maximum time from now to an instant that [`Clock::instant`] returns; [`Time::NEVER`] would overflow.
 const MAX_AHEAD: Micros = Micros(3_600_000_000);
 
 /// Reads the wall clock once and advances with the monotonic clock, so that a step of the wall clock does not
--- a/src/bin/load-balancer-proxy/config.rs
+++ b/src/bin/load-balancer-proxy/config.rs
@@ -14,11 +14,11 @@
 
 const PATH_VARIABLE: &str = "BALANCER_CONFIG";
 
-/// Lower bound of [`Settings::drain_notice_limit`]: the discovery agent needs part of that time to answer a
-/// call.
+/// Lower bound and default of [`Settings::drain_notice_limit`]: the discovery agent needs part of that time
+/// to answer a call.
 const MIN_DRAIN_NOTICE_LIMIT: Micros = Micros(200_000);
-/// Upper bound of [`Settings::drain_notice_limit`]: the proxy counts as notified of a change after 6 s, even
-/// if the discovery agent does not respond.
+/// Upper bound of [`Settings::drain_notice_limit`]: the platform considers the proxy notified of a change
+/// after 6 s, even if the discovery agent does not respond.
 const MAX_DRAIN_NOTICE_LIMIT: Micros = Micros(4_000_000);
 
 /// Why the configuration could not be loaded.
@@ -66,7 +66,7 @@
     /// Number of requests that may be open at once; further ones are rejected without consulting the
     /// balancer.
     pub max_open_requests: usize,
-    /// Backends close connections that have been idle for this long, or earlier.
+    /// Time after which a backend closes an idle connection; it may close the connection earlier.
     pub idle_timeout: Micros,
     /// A connection to a backend that is not established after this time counts as failed.
     pub connect_timeout: Micros,
--- a/src/bin/load-balancer-proxy/dispatcher/deadlines.rs
+++ b/src/bin/load-balancer-proxy/dispatcher/deadlines.rs
@@ -20,8 +20,8 @@
 /// The deadlines of open requests.
 pub(super) struct Deadlines {
     pending: BTreeSet<Deadline>,
-    /// Upper limit on all deadlines: the time by which the process exits, or [`Time::NEVER`] while it is not
-    /// shutting down.
+    /// Upper limit on all deadlines: the time by which every request is answered during a graceful shutdown,
+    /// or [`Time::NEVER`] before.
     latest: Time,
     /// Unanswered requests past their deadline, ordered by the time until which the balancer may answer them.
     overdue: VecDeque<Deadline>,
@@ -119,7 +119,8 @@
         }
     }
 
-    /// Caps all current and later request deadlines at `deadline`, the time by which the process exits.
+    /// Caps all current and later request deadlines at `deadline`, the time by which the graceful shutdown
+    /// answers every request.
     pub(super) fn shorten_deadlines(&mut self, deadline: Time) {
         self.deadlines.set_latest(deadline);
         for request in self.requests.iter_mut().filter(|request| request.deadline > deadline) {
--- a/src/bin/load-balancer-proxy/dispatcher/message_handling.rs
+++ b/src/bin/load-balancer-proxy/dispatcher/message_handling.rs
@@ -20,7 +20,7 @@
                 self.end_attempt(self.clock.now(), request, attempt, result);
             }
             DispatcherMessage::EndpointList { update, endpoints } => {
-                self.endpoint_list_arrived(update, endpoints);
+                self.endpoint_list_received(update, endpoints);
             }
             DispatcherMessage::SettingsReplaced(replacement) => self.settings_replaced(replacement),
             DispatcherMessage::ShutdownStarted { deadline } => self.shutdown_started(deadline),
@@ -31,7 +31,7 @@
         if self.requests.len() >= self.settings.max_open_requests {
             // Rejected without involving the balancer.
             let retry_after = self.balancer.retry_after();
-            let _ = received.response.send(FinalResponse::Rejected { retry_after });
+            let _ = received.response_sender.send(FinalResponse::Rejected { retry_after });
             return;
         }
         let deadline = self.deadlines.limit(received.deadline);
@@ -48,7 +48,7 @@
             id: received.id,
             deadline,
             upstream_request: received.upstream_request,
-            reply: Some(received.response),
+            response_sender: Some(received.response_sender),
             attempts: HashMap::new(),
             dispatch_count: 0,
         });
@@ -56,7 +56,7 @@
 
     fn client_disconnected(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(id) else { return };
-        if request.take_reply().is_some() {
+        if request.take_response_sender().is_some() {
             self.events.push(Event::ClientDisconnected { request: id });
             self.requests.mark_if_finished(id);
         }
@@ -78,7 +78,7 @@
         self.requests.mark_if_finished(id);
     }
 
-    fn endpoint_list_arrived(&mut self, update: EndpointListUpdate, endpoints: Vec<Endpoint>) {
+    fn endpoint_list_received(&mut self, update: EndpointListUpdate, endpoints: Vec<Endpoint>) {
         let backends = self.backends.apply(update, endpoints);
         self.status.is_serving.set(self.backends.has_ready());
         self.events.push(Event::EndpointListChanged { update, backends });
--- a/src/bin/load-balancer-proxy/dispatcher/mod.rs
+++ b/src/bin/load-balancer-proxy/dispatcher/mod.rs
@@ -106,8 +106,8 @@
         })
     }
 
-    /// Runs the event loop. It never returns: it would end once all message senders are dropped, but the
-    /// dispatcher holds one itself.
+    /// Handles messages and runs the ticks of the balancer. Never returns: it would end once all message
+    /// senders are dropped, but the dispatcher holds one itself.
     pub async fn run(mut self, mut messages: mpsc::UnboundedReceiver<DispatcherMessage>) {
         let sleep = tokio::time::sleep_until(self.clock.instant(self.clock.now()));
         tokio::pin!(sleep);
--- a/src/bin/load-balancer-proxy/dispatcher/request_table.rs
+++ b/src/bin/load-balancer-proxy/dispatcher/request_table.rs
@@ -22,7 +22,7 @@
     pub deadline: Time,
     pub upstream_request: Rc<UpstreamRequest>,
     /// Sender of the final response; `None` once it has been sent or the client has disconnected.
-    pub reply: Option<oneshot::Sender<FinalResponse>>,
+    pub response_sender: Option<oneshot::Sender<FinalResponse>>,
     pub attempts: HashMap<AttemptNumber, AttemptTask>,
     /// Number of attempts that the balancer has requested so far.
     pub dispatch_count: u32,
@@ -31,7 +31,7 @@
 impl OpenRequest {
     /// Returns whether the final response has been sent or the client has disconnected.
     pub fn is_answered(&self) -> bool {
-        self.reply.is_none()
+        self.response_sender.is_none()
     }
 
     /// Returns whether the request is answered and has no attempts in flight.
@@ -40,15 +40,15 @@
     }
 
     /// Marks the request as answered and returns the sender of the response if the request was still pending.
-    pub fn take_reply(&mut self) -> Option<oneshot::Sender<FinalResponse>> {
+    pub fn take_response_sender(&mut self) -> Option<oneshot::Sender<FinalResponse>> {
         self.upstream_request.mark_answered();
-        self.reply.take()
+        self.response_sender.take()
     }
 
     /// Sends the final response if the request is still pending.
     pub fn answer(&mut self, response: FinalResponse) {
-        if let Some(reply) = self.take_reply() {
-            let _ = reply.send(response);
+        if let Some(response_sender) = self.take_response_sender() {
+            let _ = response_sender.send(response);
         }
     }
 
--- a/src/bin/load-balancer-proxy/dispatcher/tests.rs
+++ b/src/bin/load-balancer-proxy/dispatcher/tests.rs
@@ -43,7 +43,7 @@
 
 /// Passes a request to the dispatcher and returns the receiver of its final response.
 fn receive(dispatcher: &mut Dispatcher, id: RequestId, deadline: Time) -> oneshot::Receiver<FinalResponse> {
-    let (reply, response) = oneshot::channel();
+    let (sender, response) = oneshot::channel();
     let upstream_request = UpstreamRequest::new(hyper::Request::new(()), Bytes::new(), Micros(0));
     dispatcher.handle_message(DispatcherMessage::RequestReceived(ReceivedRequest {
         id,
@@ -53,7 +53,7 @@
         expected_work: None,
         is_client_retry: false,
         upstream_request: Rc::new(upstream_request),
-        response: reply,
+        response_sender: sender,
     }));
     response
 }
@@ -113,6 +113,7 @@
     assert!(reported.try_recv().is_err(), "exactly one report");
 }
 
+/// Guards against a second report when a report that was sent is dropped.
 #[test]
 fn an_attempt_report_is_sent_once() {
     let (messages, mut reported) = mpsc::unbounded_channel();
--- a/src/bin/load-balancer-proxy/headers.rs
+++ b/src/bin/load-balancer-proxy/headers.rs
@@ -1,4 +1,5 @@
-//! Header fields of the platform's protocol, and removal of the fields that a proxy must not forward.
+//! Header fields and body limit of the platform's protocol, and removal of the fields that a proxy must not
+//! forward.
 
 use hyper::header::{
     HeaderMap, HeaderName, CONNECTION, CONTENT_LENGTH, TE, TRAILER, TRANSFER_ENCODING, UPGRADE,
@@ -24,11 +25,12 @@
 /// Maximum length of a request or response body, in bytes.
 pub const MAX_BODY_BYTES: usize = 64 << 10;
 
-/// Hop-by-hop fields for which hyper has a constant.
+/// Hop-by-hop fields for which hyper has a constant, and `Content-Length`, which hyper sets from the body.
 const HOP_BY_HOP: [HeaderName; 6] = [CONNECTION, TRANSFER_ENCODING, CONTENT_LENGTH, TE, TRAILER, UPGRADE];
 
-/// Removes the hop-by-hop fields, including those that `Connection` names, and `Expect`, which the proxy
-/// itself answers on the client's connection.
+/// Removes the fields that apply to one connection only: the hop-by-hop fields, including those that
+/// `Connection` names, `Content-Length`, and `Expect`, which the proxy itself answers on the client's
+/// connection.
 pub fn remove_hop_by_hop(headers: &mut HeaderMap) {
     for name in named_by_connection(headers) {
         headers.remove(name);
--- a/src/bin/load-balancer-proxy/messages.rs
+++ b/src/bin/load-balancer-proxy/messages.rs
@@ -43,8 +43,8 @@
     pub is_client_retry: bool,
     /// The request that is sent to backends.
     pub upstream_request: Rc<UpstreamRequest>,
-    /// Receives the final response.
-    pub response: oneshot::Sender<FinalResponse>,
+    /// Sends the final response to the handler of the client's request.
+    pub response_sender: oneshot::Sender<FinalResponse>,
 }
 
 /// A message to the dispatcher.
@@ -62,7 +62,7 @@
         /// How the attempt ended.
         result: UpstreamResult,
     },
-    /// An endpoint list was received, or a call to discovery failed.
+    /// An endpoint list was read from the configuration or received, or the subscription to it was lost.
     EndpointList {
         /// How `endpoints` is to be applied.
         update: EndpointListUpdate,
@@ -85,7 +85,7 @@
     pub settings: Arc<Settings>,
     /// The change of the balancer's configuration.
     pub update: Box<ConfigUpdate>,
-    /// Receives the old settings, which another thread frees: freeing the names of thousands of classes and
+    /// Sends the old settings to the thread that frees them: freeing the names of thousands of classes and
     /// tenants on the event loop would delay requests.
     pub replaced_settings_sender: SyncSender<Arc<Settings>>,
 }
--- a/src/bin/load-balancer-proxy/reload/config_reader.rs
+++ b/src/bin/load-balancer-proxy/reload/config_reader.rs
@@ -11,7 +11,8 @@
 use thiserror::Error;
 use tokio::sync::oneshot;
 
-/// Number of components that own a reference to the current settings: the server and the dispatcher.
+/// Number of components that own a reference to the current settings: the server and the dispatcher. The
+/// channel for replaced settings has room for as many, so that sending does not block the event loop.
 const SETTINGS_OWNERS: usize = 2;
 
 /// Why a configuration could not be reloaded.
@@ -47,7 +48,7 @@
     pub kept_keys: Vec<KeptKey>,
     /// `None` if the settings are the same as the current ones.
     pub new_settings: Option<NewSettings>,
-    /// Receives the old settings, which the thread frees.
+    /// Sends the old settings back to the thread, which frees them.
     pub replaced_settings_sender: SyncSender<Arc<Settings>>,
 }
 
--- a/src/bin/load-balancer-proxy/server/capacity.rs
+++ b/src/bin/load-balancer-proxy/server/capacity.rs
@@ -17,7 +17,7 @@
     }
 
     /// At capacity, asks the connection that has been idle longest to close or, if none is idle, those that
-    /// have been inactive for too long. Returns when to check again.
+    /// have been inactive for too long. Returns when to check again; [`Time::NEVER`] below capacity.
     pub(super) fn reclaim_capacity(&self) -> Time {
         if !self.is_at_capacity() {
             return Time::NEVER;
--- a/src/bin/load-balancer-proxy/server/client_connection.rs
+++ b/src/bin/load-balancer-proxy/server/client_connection.rs
@@ -1,8 +1,11 @@
 //! State and timeouts of a client connection, and requests to close it.
 //!
-//! A connection is idle, receives the head of a request, handles the request (reads its body, then awaits its
-//! response), and is idle again. The state is derived from the time of the first byte since the last response
-//! and from the flags that the connection's task and request handler set.
+//! | state | since the last response or the accept | `is_handling_request` | `is_awaiting_response` |
+//! | --- | --- | --- | --- |
+//! | idle | no byte was read | no | no |
+//! | receiving the head of a request | the first byte was read | no | no |
+//! | receiving its body | the head was read | yes | no |
+//! | awaiting its response | the request was read completely | yes | yes |
 
 use crate::clock::{micros, Clock};
 use load_balancer::{Micros, Time};
@@ -11,17 +14,21 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 
-/// A connection is closed after this time without input, also between requests, because silent peers would
-/// exhaust the file descriptors. The platform lets a proxy close idle connections after 2 s.
+/// A connection is closed after this time without input, before its first request or between requests,
+/// because silent peers would exhaust the file descriptors. The platform lets a proxy close idle connections
+/// after 2 s.
 const CLIENT_IDLE_TIMEOUT: Duration = Duration::from_millis(2100);
 /// Time within which a request must be received completely, counted from the opening of its connection, or
 /// from its own first byte if earlier requests on the connection were answered. A peer that never completes a
 /// request must get an error within 3 s; the difference allows for a stall of the process.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(2750);
 /// At capacity, a connection without any input is closed after this time. Clients usually send their request
-/// much earlier.
+/// much earlier. Also the minimum time from the accept to the idle timeout, however long the connection was
+/// queued.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(100);
-/// At capacity, an incomplete request is answered with 408 after this time without further input.
+/// At capacity, an incomplete request is answered with 408 after this time without further input. Also the
+/// minimum time from the accept to the read deadline of the first request, however long the connection was
+/// queued.
 const STALLED_REQUEST_TIMEOUT: Duration = Duration::from_millis(450);
 
 /// A first byte read within this time after the accept may have arrived before the accept.
@@ -29,18 +36,19 @@
 /// Upper bound of the accept delay that is deducted from a request's remaining time.
 const MAX_ACCEPT_DELAY: Duration = Duration::from_millis(300);
 
-/// Times at which a client sent data.
-pub struct Activity {
+/// Times at which hyper read data of a client. Data that was read ahead counts when it is passed to hyper.
+pub struct ReadTimes {
     clock: Clock,
-    /// Time of the first byte since the last response.
+    /// Time of the first byte since the last response; `None` if none was read since.
     first_byte_at: Cell<Option<Time>>,
+    /// Time of the last byte; `None` if none was ever read.
     last_byte_at: Cell<Option<Time>>,
 }
 
-impl Activity {
+impl ReadTimes {
     /// Creates a record without any reads.
-    pub fn new(clock: Clock) -> Activity {
-        Activity { clock, first_byte_at: Cell::default(), last_byte_at: Cell::default() }
+    pub fn new(clock: Clock) -> ReadTimes {
+        ReadTimes { clock, first_byte_at: Cell::default(), last_byte_at: Cell::default() }
     }
 
     /// Records that bytes were read now.
@@ -51,7 +59,7 @@
     }
 }
 
-/// How a connection is closed.
+/// How a connection that is asked to close is closed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum CloseMode {
     /// After the current request, if any, is answered.
@@ -60,10 +68,10 @@
     TimeOutRequest,
 }
 
-/// When and how a connection is closed unless its state changes.
+/// When and how a connection is asked to close unless its state changes before.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CloseDeadline {
-    /// Time from which the connection is closed.
+    /// Time at which the connection is asked to close.
     pub at: Time,
     /// How the connection is closed.
     pub mode: CloseMode,
@@ -76,9 +84,9 @@
     /// `accepted_at`.
     opened_at: Time,
     accepted_at: Time,
-    /// Times at which the client sent data.
-    pub activity: Rc<Activity>,
-    /// Time of the last response, until the head of the next request is read.
+    /// Shared with the socket, which records the reads.
+    pub read_times: Rc<ReadTimes>,
+    /// Time of the last response; `None` before the first one and once the head of the next request was read.
     idle_since: Cell<Option<Time>>,
     /// Whether a request on the connection has been answered.
     has_answered: Cell<bool>,
@@ -86,12 +94,14 @@
     is_handling_request: Cell<bool>,
     /// Whether a request was read completely and awaits its response.
     is_awaiting_response: Cell<bool>,
+    /// How the connection was asked to close; `None` if it was not.
     close_mode: Cell<Option<CloseMode>>,
-    /// Notified when the connection is asked to close.
+    /// Wakes the connection's task when the connection is asked to close.
     pub close_requested: Notify,
-    /// Notified when a request whose body is being read has to be answered with 408.
+    /// Wakes the request handler that reads a body when the request has to be answered with 408.
     pub request_timed_out: Notify,
-    /// Notified when the connection becomes idle and its idle timeout begins.
+    /// Wakes the connection's task when the connection becomes idle, so that it computes the close deadline
+    /// anew.
     pub became_idle: Notify,
 }
 
@@ -103,7 +113,7 @@
             clock,
             opened_at: accepted_at.saturating_sub(micros(accept_delay)),
             accepted_at,
-            activity: Rc::new(Activity::new(clock)),
+            read_times: Rc::new(ReadTimes::new(clock)),
             idle_since: Cell::default(),
             has_answered: Cell::default(),
             is_handling_request: Cell::default(),
@@ -131,11 +141,11 @@
         self.is_awaiting_response.get()
     }
 
-    /// Records that the request was answered.
+    /// Records that the response is ready to be written. The connection counts as idle from now on.
     pub fn end_request(&self) {
         self.is_handling_request.set(false);
         self.has_answered.set(true);
-        self.activity.first_byte_at.set(None);
+        self.read_times.first_byte_at.set(None);
         self.idle_since.set(Some(self.clock.now()));
         self.became_idle.notify_one();
     }
@@ -143,7 +153,7 @@
     /// Returns the time by which the current request must be received completely.
     pub fn request_read_deadline(&self) -> Time {
         if self.has_answered.get() {
-            let first_byte_at = self.activity.first_byte_at.get().unwrap_or(self.clock.now());
+            let first_byte_at = self.read_times.first_byte_at.get().unwrap_or(self.clock.now());
             return first_byte_at + micros(REQUEST_TIMEOUT);
         }
         let earliest = self.accepted_at + micros(STALLED_REQUEST_TIMEOUT);
@@ -152,7 +162,7 @@
 
     /// Returns how long the current request may have waited for its connection to be accepted.
     pub fn accept_delay(&self) -> Micros {
-        let first_byte_at = self.activity.first_byte_at.get().unwrap_or(self.accepted_at);
+        let first_byte_at = self.read_times.first_byte_at.get().unwrap_or(self.accepted_at);
         if self.has_answered.get() || first_byte_at - self.accepted_at > micros(MAX_QUEUED_READ_DELAY) {
             return Micros(0);
         }
@@ -166,7 +176,7 @@
         if self.is_handling_request.get() {
             return None;
         }
-        if self.activity.first_byte_at.get().is_some() {
+        if self.read_times.first_byte_at.get().is_some() {
             let at = self.request_read_deadline();
             return Some(CloseDeadline { at, mode: CloseMode::TimeOutRequest });
         }
@@ -177,13 +187,13 @@
     }
 
     /// Returns when and how the connection is closed at capacity because it is inactive. `None` if it was
-    /// asked to close, awaits a response, or is idle between requests; the latter connections are closed
-    /// first.
+    /// asked to close, awaits a response, or is idle between requests. At capacity, connections that are idle
+    /// between requests are closed first, without a deadline.
     pub fn close_deadline_at_capacity(&self) -> Option<CloseDeadline> {
         if self.close_mode.get().is_some() || self.is_awaiting_response.get() || self.idle_since().is_some() {
             return None;
         }
-        Some(match self.activity.last_byte_at.get() {
+        Some(match self.read_times.last_byte_at.get() {
             None => {
                 let at = self.accepted_at + micros(SILENCE_TIMEOUT);
                 CloseDeadline { at, mode: CloseMode::Graceful }
@@ -195,7 +205,9 @@
         })
     }
 
-    /// Asks the connection to close if its deadline has passed; returns `false` if it has not.
+    /// Asks the connection to close if its [`close_deadline`](Self::close_deadline) has passed; returns
+    /// whether it has. The deadline is computed again here, because the first byte of a request changes it
+    /// without resetting the timer of the connection's task.
     pub fn close_if_overdue(&self) -> bool {
         match self.close_deadline() {
             Some(deadline) if deadline.at <= self.clock.now() => {
@@ -223,23 +235,23 @@
     /// Returns since when the connection has been idle between requests. `None` before the first response and
     /// once the client has sent the first byte of the next request.
     pub fn idle_since(&self) -> Option<Time> {
-        self.idle_since.get().filter(|_| self.activity.first_byte_at.get().is_none())
+        self.idle_since.get().filter(|_| self.read_times.first_byte_at.get().is_none())
     }
 
     /// Whether the client has sent nothing since the connection was accepted.
     pub fn has_sent_nothing(&self) -> bool {
-        self.activity.last_byte_at.get().is_none()
+        self.read_times.last_byte_at.get().is_none()
     }
 
     /// Whether the head of a request is partially received.
     pub fn is_receiving_head(&self) -> bool {
-        !self.is_handling_request.get() && self.activity.first_byte_at.get().is_some()
+        !self.is_handling_request.get() && self.read_times.first_byte_at.get().is_some()
     }
 
     /// Whether the head or body of a request is partially received.
     pub fn is_receiving_request(&self) -> bool {
         !self.is_awaiting_response.get()
-            && (self.is_handling_request.get() || self.activity.first_byte_at.get().is_some())
+            && (self.is_handling_request.get() || self.read_times.first_byte_at.get().is_some())
     }
 
     fn idle_deadline(&self) -> Time {
--- a/src/bin/load-balancer-proxy/server/client_socket.rs
+++ b/src/bin/load-balancer-proxy/server/client_socket.rs
@@ -1,9 +1,10 @@
-//! A client's socket that is read ahead while a request awaits its response.
+//! A client's socket. While a request awaits its response, the connection's task reads ahead from the socket
+//! to detect that the client has disconnected.
 //!
-//! In that state, hyper reads no more than the next byte, so that further bytes sent by the client would hide
-//! the end of its stream, and with it that the client has disconnected.
+//! hyper does not detect this in all cases: while a request awaits its response, it stops reading as soon as
+//! it has received a byte of the next request, and then does not see the end of the stream.
 
-use super::client_connection::Activity;
+use super::client_connection::ReadTimes;
 use crate::headers::MAX_BODY_BYTES;
 use bytes::{Buf, BytesMut};
 use hyper::rt::{Read, ReadBufCursor, Write};
@@ -18,15 +19,16 @@
 use tokio::io::{AsyncRead, ReadBuf};
 use tokio::net::TcpStream;
 
-/// Maximum number of bytes that are read ahead and buffered; more than that is no valid request of a client.
-/// Further bytes are still read, to detect the end of the stream, and dropped.
+/// Maximum number of bytes that are read ahead and buffered, more than a valid request has. Further bytes are
+/// still read, to detect the end of the stream, but dropped.
 const MAX_READ_AHEAD_BYTES: usize = 2 * MAX_BODY_BYTES;
 const READ_BUFFER_BYTES: usize = 4096;
 /// How long to wait for the end of a client's stream after the last response. A client closes the connection
 /// once it has read that response; a peer that does not close it occupies a descriptor for this long.
-const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
-/// The same for a peer whose request was never completed and that has stopped sending.
-const STALLED_PEER_LINGER_TIMEOUT: Duration = Duration::from_millis(100);
+const LINGERING_CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
+/// The same after a 408 response to an incomplete request, whose peer has usually stopped sending. Also
+/// limits the time for writing that response.
+const STALLED_PEER_CLOSE_TIMEOUT: Duration = Duration::from_millis(100);
 /// Response to a request whose head was never completed; hyper does not know about the request yet.
 const TIMEOUT_RESPONSE: &[u8] =
     b"HTTP/1.1 408 Request Timeout\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
@@ -34,9 +36,10 @@
 /// The last response on a connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum LastResponse {
-    /// The response to a complete request.
-    Complete,
-    /// A 408 response to an incomplete request.
+    /// Any response other than [`Timeout`](LastResponse::Timeout).
+    Regular,
+    /// A 408 response to an incomplete request, after the connection was asked to close with
+    /// [`CloseMode::TimeOutRequest`](super::client_connection::CloseMode::TimeOutRequest).
     Timeout,
 }
 
@@ -47,7 +50,7 @@
     /// Whether bytes were dropped because the buffer was full.
     is_truncated: bool,
     has_written: bool,
-    activity: Rc<Activity>,
+    read_times: Rc<ReadTimes>,
 }
 
 impl Socket {
@@ -64,35 +67,35 @@
 pub struct ClientSocket(Rc<RefCell<Socket>>);
 
 impl ClientSocket {
-    /// Wraps a connected stream; reads are recorded in `activity`.
-    pub fn new(stream: TcpStream, activity: Rc<Activity>) -> ClientSocket {
+    /// Wraps a connected stream; reads by hyper are recorded in `read_times`.
+    pub fn new(stream: TcpStream, read_times: Rc<ReadTimes>) -> ClientSocket {
         ClientSocket(Rc::new(RefCell::new(Socket {
             io: TokioIo::new(stream),
             read_ahead: BytesMut::new(),
             is_truncated: false,
             has_written: false,
-            activity,
+            read_times,
         })))
     }
 
-    /// Answers the incomplete request with 408 and ends the connection.
+    /// Answers a request whose head is incomplete with 408 and ends the connection.
     pub async fn send_timeout_response(&self) {
         let written = poll_fn(|cx| Pin::new(&mut self.0.borrow_mut().io).poll_write(cx, TIMEOUT_RESPONSE));
-        let _ = tokio::time::timeout(STALLED_PEER_LINGER_TIMEOUT, written).await;
+        let _ = tokio::time::timeout(STALLED_PEER_CLOSE_TIMEOUT, written).await;
         self.0.borrow_mut().has_written = true;
-        self.linger(LastResponse::Timeout).await;
+        self.lingering_close(LastResponse::Timeout).await;
     }
 
     /// Ends the connection after its last response: shuts down the sending side and reads up to the end of
     /// the client's stream. Closing a socket with unread bytes resets the connection, and the client may lose
-    /// the response.
-    pub async fn linger(&self, last_response: LastResponse) {
+    /// the response. Does nothing if no response was written.
+    pub async fn lingering_close(&self, last_response: LastResponse) {
         if !self.0.borrow().has_written {
             return;
         }
         let timeout = match last_response {
-            LastResponse::Complete => LINGER_TIMEOUT,
-            LastResponse::Timeout => STALLED_PEER_LINGER_TIMEOUT,
+            LastResponse::Regular => LINGERING_CLOSE_TIMEOUT,
+            LastResponse::Timeout => STALLED_PEER_CLOSE_TIMEOUT,
         };
         let end = async {
             let shutdown = poll_fn(|cx| Pin::new(&mut self.0.borrow_mut().io).poll_shutdown(cx)).await;
@@ -103,7 +106,8 @@
         let _ = tokio::time::timeout(timeout, end).await;
     }
 
-    /// Ready once the client has closed or reset the connection, even if it sent further bytes before.
+    /// Reads ahead. Ready once the client has reset the connection or closed it, at least for sending, even
+    /// if it sent further bytes before.
     pub fn poll_disconnected(&self, cx: &mut Context) -> Poll<()> {
         let socket = &mut *self.0.borrow_mut();
         loop {
@@ -124,14 +128,15 @@
         if socket.read_ahead.is_empty() && !socket.is_truncated {
             let read = Pin::new(&mut socket.io).poll_read(cx, buffer);
             if matches!(read, Poll::Ready(Ok(()))) {
-                socket.activity.record_read();
+                socket.read_times.record_read();
             }
             return read;
         }
         if !socket.read_ahead.is_empty() {
-            socket.activity.record_read();
+            socket.read_times.record_read();
         }
-        // hyper sees the end of a truncated stream here and closes the connection after the current response.
+        // Once the buffer of a truncated stream is empty, hyper reads 0 bytes. It takes that for the end of
+        // the stream and closes the connection after the current response.
         let length = socket.read_ahead.len().min(buffer.remaining());
         buffer.put_slice(&socket.read_ahead[..length]);
         socket.read_ahead.advance(length);
--- a/src/bin/load-balancer-proxy/server/connection_task.rs
+++ b/src/bin/load-balancer-proxy/server/connection_task.rs
@@ -26,14 +26,14 @@
     }
 }
 
-/// The next step towards closing a connection that was asked to close.
+/// What the connection's task does once the connection is asked to close, depending on its state.
 enum CloseStep {
-    /// Do nothing yet: a pending request has to be answered first.
+    /// Do nothing: the handler answers the current request, with `Connection: close`.
     Wait,
-    /// Close after the current request, if there is one.
+    /// Close after the response to the current request, or immediately if there is none.
     StopAfterRequest,
-    /// Answer the request with the incomplete head with 408. A request with an incomplete body is answered by
-    /// its handler instead.
+    /// Send 408 because the head of the request is incomplete. If its body is incomplete, its handler sends
+    /// 408 instead.
     TimeOutRequest,
     /// Drop the connection without a response.
     Drop,
@@ -46,7 +46,7 @@
         }
         match client.close_mode() {
             Some(CloseMode::TimeOutRequest) if client.is_receiving_head() => CloseStep::TimeOutRequest,
-            // A request that has begun meanwhile is still answered, with `Connection: close`.
+            // If the client has meanwhile begun a request, its handler answers it first.
             Some(CloseMode::Graceful) if !client.is_receiving_request() => CloseStep::StopAfterRequest,
             _ => CloseStep::Wait,
         }
@@ -56,16 +56,16 @@
 fn last_response(client: &ClientConnection) -> LastResponse {
     match client.close_mode() {
         Some(CloseMode::TimeOutRequest) => LastResponse::Timeout,
-        _ => LastResponse::Complete,
+        _ => LastResponse::Regular,
     }
 }
 
 impl Server {
     /// Spawns a task that serves an accepted connection.
     pub(super) fn spawn_connection(self: Rc<Self>, accepted: Accepted) {
-        let Accepted { stream, since } = accepted;
+        let Accepted { stream, queued_since } = accepted;
         let _ = stream.set_nodelay(true);
-        let client = Rc::new(ClientConnection::new(self.clock, since.elapsed()));
+        let client = Rc::new(ClientConnection::new(self.clock, queued_since.elapsed()));
         let id = self.next_id();
         self.connections.borrow_mut().insert(id, client.clone());
         tokio::task::spawn_local(async move {
@@ -79,9 +79,10 @@
         let service = service_fn(|request| self.handle_request(request, client));
         let mut http = http1::Builder::new();
         http.timer(TokioTimer::new()).header_read_timeout(None);
-        let socket = ClientSocket::new(stream, client.activity.clone());
+        let socket = ClientSocket::new(stream, client.read_times.clone());
         let connection = http.serve_connection(socket.clone(), service);
         tokio::pin!(connection);
+        // Polled after `connection`, because the request handler that runs in it sets the flag.
         let disconnected = poll_fn(|cx| match client.is_awaiting_response() {
             true => socket.poll_disconnected(cx),
             false => Poll::Pending,
@@ -95,9 +96,9 @@
                     if let Err(error) = result {
                         tracing::debug!(%error, "client connection failed");
                     }
-                    return socket.linger(last_response(client)).await;
+                    return socket.lingering_close(last_response(client)).await;
                 }
-                () = &mut disconnected => return,
+                () = &mut disconnected => return, // drops the handler, which notifies the dispatcher
                 () = client.close_requested.notified() => {}
                 () = client.became_idle.notified() => continue,
                 () = tokio::time::sleep_until(self.clock.instant(deadline)) => {
--- a/src/bin/load-balancer-proxy/server/graceful_shutdown.rs
+++ b/src/bin/load-balancer-proxy/server/graceful_shutdown.rs
@@ -11,14 +11,14 @@
 
 /// How long connections are still accepted after SIGTERM, because clients continue to open some.
 const ACCEPT_PERIOD: Duration = Duration::from_millis(500);
-/// Upper bound of the time, from SIGTERM, that pending requests are given to complete. The platform sends
-/// SIGKILL 0.7 s after the longest deadline of a class, or after this bound if that is shorter.
+/// Requests have this time to complete after SIGTERM, or the longest deadline of any class if that is
+/// shorter. The platform sends SIGKILL 0.7 s after the end of that time.
 const MAX_REQUEST_TIME: Micros = Micros(3_000_000);
 /// Time after that in which requests are still answered. It ends 0.2 s before SIGKILL, which allows for a
 /// stall of 0.15 s and the transmission to the client.
 const RESPONSE_GRACE_PERIOD: Micros = Micros(500_000);
-/// Time for writing the last 408 responses after the response deadline. It starts when they are requested,
-/// because a process that was stalled until then has not written any.
+/// Time for writing the last 408 responses. It starts when they are requested rather than at the deadline,
+/// which a stalled process may notice late.
 const TIMEOUT_RESPONSE_PERIOD: Duration = Duration::from_millis(100);
 
 /// Returns when to stop accepting connections if the shutdown begins now.
@@ -37,7 +37,7 @@
         deadline
     }
 
-    /// Serves the queued and open connections until all are closed or the deadline passes, and then answers
+    /// Serves the queued and open connections until all are closed. If the deadline passes before, answers
     /// the incomplete requests with 408.
     pub(super) async fn finish_shutdown(self: &Rc<Self>, acceptor: Acceptor, deadline: Time) {
         let queue = acceptor
--- a/src/bin/load-balancer-proxy/server/listener.rs
+++ b/src/bin/load-balancer-proxy/server/listener.rs
@@ -12,22 +12,24 @@
 pub struct Accepted {
     /// Stream of the connection.
     pub stream: TcpStream,
-    /// Earliest time at which the connection may have been queued.
-    pub since: Instant,
+    /// Earliest time at which the connection may have entered the listen queue.
+    pub queued_since: Instant,
 }
 
 impl Accepted {
-    /// Creates a connection that may have been queued since `waiting_since`, or not at all if that is `None`.
+    /// Creates a connection that may have been queued since `waiting_since`; `None` means that it was not
+    /// queued.
     fn new(stream: TcpStream, waiting_since: Option<Instant>) -> Accepted {
-        Accepted { stream, since: waiting_since.unwrap_or_else(Instant::now) }
+        Accepted { stream, queued_since: waiting_since.unwrap_or_else(Instant::now) }
     }
 }
 
-/// The listening socket while the proxy runs.
+/// Accepts connections on the listening socket until the accept period of the graceful shutdown is over.
 pub struct Acceptor {
     listener: TcpListener,
     backoff: Backoff,
-    /// Time since which connections may be queued; `None` if the queue was found empty at the last check.
+    /// Time since which connections may be waiting in the listen queue; `None` if the last call of accept
+    /// found it empty.
     waiting_since: Option<Instant>,
 }
 
@@ -37,8 +39,9 @@
         Acceptor { listener, backoff: Backoff::new(), waiting_since: None }
     }
 
-    /// Records that connections may queue up from now until the next call of [`Acceptor::accept`].
-    pub fn pause(&mut self) {
+    /// Records that connections may be waiting in the listen queue from now on. Has no effect if that has
+    /// been recorded since the queue was last found empty.
+    pub fn mark_connections_waiting(&mut self) {
         self.waiting_since.get_or_insert_with(Instant::now);
     }
 
@@ -52,7 +55,7 @@
                     return Accepted::new(stream, self.waiting_since);
                 }
                 Err(error) => {
-                    self.pause();
+                    self.mark_connections_waiting();
                     record_failure(&mut self.backoff, &error);
                 }
             }
@@ -60,7 +63,7 @@
         }
     }
 
-    /// Returns the connections that are still queued by the operating system.
+    /// Stops accepting new connections; returns the listen queue, from which the waiting ones are accepted.
     pub fn into_queue(self) -> io::Result<ListenQueue> {
         let waiting_since = self.waiting_since;
         Ok(ListenQueue { listener: self.listener.into_std()?, backoff: Backoff::new(), waiting_since })
@@ -75,8 +78,8 @@
     }
 }
 
-/// The connections that were queued when the proxy stopped accepting. Dropping it closes the listening
-/// socket.
+/// The listen queue after the accept period. Unlike [`Acceptor`], it does not wait for new connections.
+/// Dropping it closes the listening socket.
 pub struct ListenQueue {
     listener: std::net::TcpListener,
     backoff: Backoff,
--- a/src/bin/load-balancer-proxy/server/mod.rs
+++ b/src/bin/load-balancer-proxy/server/mod.rs
@@ -54,8 +54,8 @@
 pub struct Server {
     clock: Clock,
     stall_detector: StallDetector,
-    /// Replaced together with sending the message that notifies the dispatcher; no borrow is held across an
-    /// await point.
+    /// A reload replaces the settings and notifies the dispatcher without an await point in between. No
+    /// borrow is held across an await point.
     settings: RefCell<Arc<Settings>>,
     /// Number of client connections that may be open at once.
     max_connections: usize,
@@ -89,7 +89,7 @@
     /// Serves until `shutdown_signal` completes; returns once the pending requests are answered.
     pub async fn run(self: Rc<Self>, listener: TcpListener, shutdown_signal: impl Future<Output = ()>) {
         let mut acceptor = Acceptor::new(listener);
-        let deadline = self.accept_until_listener_closes(&mut acceptor, shutdown_signal).await;
+        let deadline = self.accept_connections(&mut acceptor, shutdown_signal).await;
         self.finish_shutdown(acceptor, deadline).await;
     }
 
@@ -109,9 +109,9 @@
         let _ = self.dispatcher.send(message);
     }
 
-    /// Accepts connections until the accept period after the shutdown signal is over; returns the time by
-    /// which every request is answered.
-    async fn accept_until_listener_closes(
+    /// Accepts connections until the accept period that follows the shutdown signal is over. Returns the time
+    /// by which every request is answered.
+    async fn accept_connections(
         self: &Rc<Self>, acceptor: &mut Acceptor, shutdown_signal: impl Future<Output = ()>,
     ) -> Time {
         tokio::pin!(shutdown_signal);
@@ -122,7 +122,7 @@
             let next_capacity_check = self.reclaim_capacity();
             let at_capacity = self.is_at_capacity();
             if at_capacity {
-                acceptor.pause();
+                acceptor.mark_connections_waiting();
             }
             tokio::select! {
                 biased;
--- a/src/bin/load-balancer-proxy/server/request_handler.rs
+++ b/src/bin/load-balancer-proxy/server/request_handler.rs
@@ -108,7 +108,7 @@
             time_left_us = parsed.time_left.0,
             "request received"
         );
-        let (response_sender, response) = oneshot::channel();
+        let (sender, response) = oneshot::channel();
         self.notify_dispatcher(DispatcherMessage::RequestReceived(ReceivedRequest {
             id,
             class: parsed.class,
@@ -117,7 +117,7 @@
             expected_work: parsed.expected_work,
             is_client_retry: parsed.is_client_retry,
             upstream_request,
-            response: response_sender,
+            response_sender: sender,
         }));
         client.set_awaiting_response(true);
         let response = response.await;
--- a/src/bin/load-balancer-proxy/startup.rs
+++ b/src/bin/load-balancer-proxy/startup.rs
@@ -1,4 +1,5 @@
-//! Startup: creates the event loop, the listening socket and the tasks of the proxy, in this order.
+//! Startup: creates the event loop, the signal handlers, the listening socket and the tasks of the proxy, in
+//! this order.
 
 use crate::clock::Clock;
 use crate::config::ProxyConfig;
@@ -50,7 +51,8 @@
         /// Error of the operating system.
         source: io::Error,
     },
-    /// The listening address is in use or not assigned to this machine.
+    /// The listening socket could not be opened, for example because the address is in use or not assigned to
+    /// this machine.
     #[error("listen: expected a free address, got {address}: {source}")]
     Listen {
         /// The configured address.
@@ -117,6 +119,7 @@
     LocalSet::new().block_on(&runtime, serve(config, clock, stall_detector))
 }
 
+/// Creates the event loop. Its hook runs each time the thread has waited for events of the operating system.
 fn build_runtime(stall_detector: &StallDetector) -> io::Result<Runtime> {
     let stall_detector = stall_detector.clone();
     tokio::runtime::Builder::new_current_thread()
@@ -125,6 +128,11 @@
         .build()
 }
 
+/// Starts all tasks and serves until the graceful shutdown is complete.
+///
+/// The signal handlers are installed before the listening address is logged, because a supervisor may send a
+/// signal from then on. The cached list is queued for the dispatcher before the watch on discovery runs, so
+/// that it precedes every list from discovery.
 async fn serve(
     mut config: ProxyConfig, clock: Clock, stall_detector: StallDetector,
 ) -> Result<(), StartupError> {
@@ -180,11 +188,14 @@
 
 /// The cached endpoint list, with the start times of its backends converted to the clock of this process.
 struct CachedList {
+    /// `None` without a cached list; the first call to discovery then requests a snapshot.
     version: Option<u64>,
     endpoints: Vec<Endpoint>,
+    /// The converted start times, with which the watch converts those of later lists.
     start_times: StartTimes,
 }
 
+/// Moves the cached list out of the configuration; it is empty if there is none.
 fn take_cached_list(config: &mut ProxyConfig, clock: Clock) -> CachedList {
     let list = config.cached_list.take();
     let version = list.as_ref().map(|list| list.version);
@@ -194,7 +205,7 @@
     CachedList { version, endpoints, start_times }
 }
 
-/// Builds the watch on discovery, which continues from the version of the cached list.
+/// Builds the watch on discovery, which continues from the version and the start times of the cached list.
 fn build_watch(
     config: &ProxyConfig, cached: &mut CachedList, address: watch::Receiver<SocketAddr>,
     settings: Rc<Cell<WatchSettings>>, shared: &SharedHandles,
@@ -236,9 +247,9 @@
         status: shared.status,
     };
     let dispatcher = Dispatcher::new(config.settings, config.seed, handles)?;
-    let dispatcher = tokio::task::spawn_local(dispatcher.run(messages));
+    let task = tokio::task::spawn_local(dispatcher.run(messages));
     tokio::task::spawn_local(async move {
-        if let Err(error) = dispatcher.await {
+        if let Err(error) = task.await {
             tracing::error!(%error, "dispatcher ended");
         }
         status.is_serving.set(false);
--- a/src/bin/load-balancer-proxy/upstream/attempt.rs
+++ b/src/bin/load-balancer-proxy/upstream/attempt.rs
@@ -53,7 +53,7 @@
     /// | event | outcome |
     /// | --- | --- |
     /// | complete response | [`Outcome::Success`], [`Outcome::ErrorResponse`] or [`Outcome::Rejected`] |
-    /// | not fully written in time, or answered before that | [`Outcome::NotSent`] |
+    /// | request not fully written in time, or answered before that | [`Outcome::NotSent`] |
     /// | the backend started to drain, or the proxy's machine ran out of resources | [`Outcome::NotSent`] |
     /// | no connection, or it failed before the request was fully written | [`Outcome::ConnectFailed`] |
     /// | the connection failed after the request was fully written | [`Outcome::ConnectionReset`] |
--- a/src/bin/load-balancer-proxy/upstream/connection_pool.rs
+++ b/src/bin/load-balancer-proxy/upstream/connection_pool.rs
@@ -14,10 +14,10 @@
 
 /// Idle connections are closed after this fraction of the backend's own idle timeout. A request that is
 /// written while the backend closes the connection would end with a connection reset.
-const IDLE_LIMIT_FRACTION: f64 = 0.75;
+const IDLE_TIMEOUT_FRACTION: f64 = 0.75;
 /// Upper limit on the idle timeout. Otherwise many proxies, each with idle connections to backends that they
 /// no longer use, would fill the backends' connection tables.
-const MAX_IDLE_TIME: Micros = Micros(5_000_000);
+const MAX_IDLE_TIMEOUT: Micros = Micros(5_000_000);
 
 /// Error when opening a connection.
 #[derive(Debug, thiserror::Error)]
@@ -26,7 +26,7 @@
     #[error("{0}")]
     Connect(ConnectError),
     /// The HTTP handshake failed.
-    #[error("{0}")]
+    #[error("HTTP handshake failed: {0}")]
     Handshake(hyper::Error),
 }
 
@@ -55,8 +55,8 @@
     pub clock: Clock,
     /// Time limit for opening a connection.
     connect_timeout: Cell<Micros>,
-    /// Time after which an idle connection is closed.
-    idle_limit: Cell<Micros>,
+    /// Time after which the pool closes an idle connection.
+    idle_timeout: Cell<Micros>,
     sockets: SocketBudget,
     /// Backends that may have idle connections, without duplicates, in the order in which connections are
     /// closed to free a socket.
@@ -64,34 +64,34 @@
 }
 
 impl ConnectionPool {
-    /// Creates an empty pool. `backend_idle_limit` is the time after which a backend closes an idle
+    /// Creates an empty pool. `backend_idle_timeout` is the time after which a backend closes an idle
     /// connection. `max_sockets` limits the number of open sockets, including those of idle connections.
     pub fn new(
-        clock: Clock, connect_timeout: Micros, backend_idle_limit: Micros, max_sockets: usize,
+        clock: Clock, connect_timeout: Micros, backend_idle_timeout: Micros, max_sockets: usize,
     ) -> ConnectionPool {
         let pool = ConnectionPool {
             clock,
             connect_timeout: Cell::default(),
-            idle_limit: Cell::default(),
+            idle_timeout: Cell::default(),
             sockets: SocketBudget::new(max_sockets),
             backends_with_idle: RefCell::default(),
         };
-        pool.set_timeouts(connect_timeout, backend_idle_limit);
+        pool.set_timeouts(connect_timeout, backend_idle_timeout);
         pool
     }
 
-    /// Changes the connect timeout and the idle timeout. Applies to connects that start from now on and to
-    /// all idle connections.
-    pub fn set_timeouts(&self, connect_timeout: Micros, backend_idle_limit: Micros) {
+    /// Sets the connect timeout of connections that are opened from now on, and the idle timeout of all idle
+    /// connections, which is derived from the backends' idle timeout.
+    pub fn set_timeouts(&self, connect_timeout: Micros, backend_idle_timeout: Micros) {
         self.connect_timeout.set(connect_timeout);
-        self.idle_limit.set(backend_idle_limit.times(IDLE_LIMIT_FRACTION).min(MAX_IDLE_TIME));
+        self.idle_timeout.set(backend_idle_timeout.times(IDLE_TIMEOUT_FRACTION).min(MAX_IDLE_TIMEOUT));
     }
 
     /// Closes the idle connections to a backend that have reached the idle timeout or that the backend has
     /// closed.
     pub async fn close_expired_idle(&self, upstream: &Rc<Upstream>) {
         let mut kept = upstream.take_all_idle();
-        let oldest = self.clock.now().saturating_sub(self.idle_limit.get());
+        let oldest = self.clock.now().saturating_sub(self.idle_timeout.get());
         kept.retain(|idle| idle.since > oldest);
         for mut idle in kept {
             if idle.connection.is_reusable().await && upstream.is_ready() {
@@ -145,7 +145,7 @@
     }
 
     fn has_idle_time_left(&self, since: Time) -> bool {
-        self.clock.now() - since < self.idle_limit.get()
+        self.clock.now() - since < self.idle_timeout.get()
     }
 
     async fn open(&self, address: SocketAddr) -> Result<Connection, OpenError> {
