--- a/src/bin/load-balancer-proxy/messages.rs
+++ b/src/bin/load-balancer-proxy/messages.rs
@@ -1,5 +1,4 @@
-//! Messages between the client side of the proxy, the discovery watch, and the dispatcher, which owns the
-//! requests and attempts.
+//! Messages to the dispatcher, which owns the requests and attempts, and the final responses that it sends.
 
 use crate::config::Settings;
 use crate::upstream::{UpstreamRequest, UpstreamResult};
--- a/src/bin/load-balancer-proxy/server/connection_task.rs
+++ b/src/bin/load-balancer-proxy/server/connection_task.rs
@@ -31,7 +31,7 @@
     /// Do nothing: the handler answers the current request, with `Connection: close`.
     Wait,
     /// Close after the response to the current request, or immediately if there is none.
-    StopAfterRequest,
+    CloseAfterRequest,
     /// Send 408 because the head of the request is incomplete. If its body is incomplete, its handler sends
     /// 408 instead.
     TimeOutRequest,
@@ -47,7 +47,7 @@
         match client.close_mode() {
             Some(CloseMode::TimeOutRequest) if client.is_receiving_head() => CloseStep::TimeOutRequest,
             // If the client has meanwhile begun a request, its handler answers it first.
-            Some(CloseMode::Graceful) if !client.is_receiving_request() => CloseStep::StopAfterRequest,
+            Some(CloseMode::Graceful) if !client.is_receiving_request() => CloseStep::CloseAfterRequest,
             _ => CloseStep::Wait,
         }
     }
@@ -109,7 +109,7 @@
             }
             match CloseStep::of(client) {
                 CloseStep::Wait => {}
-                CloseStep::StopAfterRequest => connection.as_mut().graceful_shutdown(),
+                CloseStep::CloseAfterRequest => connection.as_mut().graceful_shutdown(),
                 CloseStep::TimeOutRequest => return socket.send_timeout_response().await,
                 CloseStep::Drop => return,
             }
--- a/src/bin/load-balancer-proxy/server/mod.rs
+++ b/src/bin/load-balancer-proxy/server/mod.rs
@@ -65,6 +65,7 @@
     last_id: Cell<u64>,
     is_shutting_down: Cell<bool>,
     connections: RefCell<BTreeMap<u64, Rc<ClientConnection>>>,
+    /// Notified when the task of a client connection has ended.
     connection_closed: Notify,
 }
 
@@ -86,7 +87,8 @@
         }
     }
 
-    /// Serves until `shutdown_signal` completes; returns once the pending requests are answered.
+    /// Serves until `shutdown_signal` completes, then shuts down gracefully. Returns once all connections are
+    /// closed or the time for the shutdown is over.
     pub async fn run(self: Rc<Self>, listener: TcpListener, shutdown_signal: impl Future<Output = ()>) {
         let mut acceptor = Acceptor::new(listener);
         let deadline = self.accept_connections(&mut acceptor, shutdown_signal).await;
--- a/src/bin/load-balancer-proxy/startup.rs
+++ b/src/bin/load-balancer-proxy/startup.rs
@@ -119,7 +119,7 @@
     LocalSet::new().block_on(&runtime, serve(config, clock, stall_detector))
 }
 
-/// Creates the event loop. Its hook runs each time the thread has waited for events of the operating system.
+/// Creates the event loop. Its hook runs each time it has polled the operating system for events.
 fn build_runtime(stall_detector: &StallDetector) -> io::Result<Runtime> {
     let stall_detector = stall_detector.clone();
     tokio::runtime::Builder::new_current_thread()
--- a/src/bin/load-balancer-proxy/upstream/connection_pool.rs
+++ b/src/bin/load-balancer-proxy/upstream/connection_pool.rs
@@ -126,7 +126,7 @@
         }
         let mut backends_with_idle = self.backends_with_idle.borrow_mut();
         if backends_with_idle.len() > 2 * self.sockets.limit() {
-            backends_with_idle.retain(|upstream| upstream.strong_count() > 0); // backends that were replaced
+            backends_with_idle.retain(|upstream| upstream.strong_count() > 0); // drops replaced backends
         }
         backends_with_idle.push_back(Rc::downgrade(upstream));
     }
