--- a/src/bin/load-balancer-proxy/upstream/attempt.rs
+++ b/src/bin/load-balancer-proxy/upstream/attempt.rs
@@ -48,8 +48,8 @@
 struct StaleConnection;
 
 impl ConnectionPool {
-    /// Makes one attempt. Dropping the future, as the dispatcher does at the deadline or to cancel the attempt,
-    /// closes the connection.
+    /// Makes one attempt. Dropping the future, as the dispatcher does at the deadline and to cancel the
+    /// attempt, closes the connection.
     ///
     /// | event | outcome |
     /// | --- | --- |
