--- a/src/bin/load-balancer-proxy/upstream/attempt.rs
+++ b/src/bin/load-balancer-proxy/upstream/attempt.rs
@@ -48,12 +48,13 @@
 struct StaleConnection;
 
 impl ConnectionPool {
-    /// Makes one attempt. Dropping the future, as the dispatcher does at the deadline, closes the connection.
+    /// Makes one attempt. Dropping the future, as the dispatcher does at the deadline and to cancel the
+    /// attempt, closes the connection.
     ///
     /// | event | outcome |
     /// | --- | --- |
     /// | complete response | [`Outcome::Success`], [`Outcome::ErrorResponse`] or [`Outcome::Rejected`] |
-    /// | not fully written in time, or answered before that | [`Outcome::NotSent`] |
+    /// | request not fully written in time, or answered before that | [`Outcome::NotSent`] |
     /// | the backend started to drain, or the proxy's machine ran out of resources | [`Outcome::NotSent`] |
     /// | no connection, or it failed before the request was fully written | [`Outcome::ConnectFailed`] |
     /// | the connection failed after the request was fully written | [`Outcome::ConnectionReset`] |
