--- a/tests/proxy/backend_responses.rs
+++ b/tests/proxy/backend_responses.rs
@@ -23,7 +23,7 @@
     assert_ne!(class, "read", "must differ from the class of the warm-up requests");
     let received = Arc::new(AtomicUsize::new(0));
     let is_of_class = move |message: &Message| message.start_line.contains(&format!("/{class}/"));
-    let start = || {
+    let start_backend = || {
         let received = received.clone();
         Backend::start(move |message| {
             if is_of_class(message) && received.fetch_add(1, Ordering::SeqCst) == 0 {
@@ -32,7 +32,7 @@
             ok_response("served")
         })
     };
-    let (backend_a, backend_b) = (start(), start());
+    let (backend_a, backend_b) = (start_backend(), start_backend());
     let (proxy, _discovery) = start_proxy_for(&[("a", &backend_a), ("b", &backend_b)]);
     warm_up(&proxy);
     let status = send_request(&proxy, &request(class, 7000)).status();
@@ -91,7 +91,7 @@
         let other = Backend::start(|_| ok_response("b"));
         let (proxy, _discovery) = start_proxy_for(&[("a", &malformed_once), ("b", &other)]);
         warm_up(&proxy);
-        wait_until("502 for a malformed response", || {
+        wait_until("a 502 for the malformed response", || {
             send_request(&proxy, &request("pay", 7000)).status() == 502
         });
         let before = malformed_once.requests().len();
--- a/tests/proxy/capacity.rs
+++ b/tests/proxy/capacity.rs
@@ -49,7 +49,7 @@
             assert_eq!(client.read_response().map(|response| response.status()), Some(200));
         }
         // Below the connect timeout of two seconds.
-        assert!(began.elapsed() < Duration::from_secs(1), "{:?} in round {round}", began.elapsed());
+        assert!(began.elapsed() < Duration::from_secs(1), "round {round} took {:?}", began.elapsed());
     }
 }
 
@@ -77,7 +77,11 @@
         assert!(response.as_ref().is_none_or(|response| response.status() == 408), "{response:?}");
     }
     // The slots are freed in rounds of at most three seconds.
-    assert!(began.elapsed() < Duration::from_secs(25), "{:?}", began.elapsed());
+    assert!(
+        began.elapsed() < Duration::from_secs(25),
+        "the last peer was closed after {:?}",
+        began.elapsed()
+    );
     assert_eq!(backend.requests().len(), 1);
 }
 
@@ -88,7 +92,7 @@
     let discovery = Discovery::start();
     let config = config(discovery.address, &[endpoint("a", backend.address, "ready", 0)]);
     let proxy = ProxyProcess::spawn_with_descriptor_limit(&config, 40);
-    wait_until("ready", || proxy.readiness_status() == 200);
+    wait_until("the proxy to be ready", || proxy.readiness_status() == 200);
     let clients: Vec<Client> = (0..60).map(|_| Client::open(proxy.address)).collect();
     wait_until("a failed accept", || proxy.log().contains("accept failed "));
     drop(clients);
--- a/tests/proxy/client_disconnects.rs
+++ b/tests/proxy/client_disconnects.rs
@@ -15,7 +15,7 @@
     let (proxy, _discovery) = start_proxy_for(&[("a", &backend)]);
     let mut client = Client::open(proxy.address);
     client.send(&request("pay", 60_000));
-    wait_until("the attempt", || backend.requests().len() == 1);
+    wait_until("the attempt to reach the backend", || backend.requests().len() == 1);
     drop(client);
     wait_until("the connection of the attempt to close", || backend.closed_connections() == 1);
 }
@@ -39,7 +39,7 @@
             client
         };
         let client = open_with_extra();
-        wait_until("the attempt", || backend.requests().len() == 1);
+        wait_until("the attempt to reach the backend", || backend.requests().len() == 1);
         drop(client);
         wait_until("the connection of the attempt to close", || backend.closed_connections() == 1);
         discovery.publish_delta(&[endpoint("a", backend.address, "draining", 0)]);
@@ -51,7 +51,7 @@
         });
         discovery.publish_delta(&[endpoint("a", backend.address, "ready", 0)]);
         assert_eq!(send_request(&proxy, &request("read", 7000)).status(), 200);
-        assert_eq!(backend.requests().len(), 2, "with {} extra bytes", extra.len());
+        assert_eq!(backend.requests().len(), 2, "requests at the backend, with {} extra bytes", extra.len());
     }
 }
 
@@ -70,31 +70,33 @@
             client.send(&request(class, 60_000));
             clients.push(client);
         }
-        wait_until("the attempts", || proxy.count_in_log("attempt dispatched attempt=0 ") == 3);
+        wait_until("the attempts to be dispatched", || {
+            proxy.count_in_log("attempt dispatched attempt=0 ") == 3
+        });
         drop(clients);
         wait_until("all clients to be logged as disconnected", || {
             proxy.count_in_log("request ended outcome=client_disconnected ") == 3
         });
-        let bytes = slow_backend.accept();
+        let received_bytes = slow_backend.accept();
         wait_until("all attempts to end", || proxy.count_in_log("attempt ended attempt=0 ") == 3);
-        assert_eq!(bytes(), 0, "cancel: {can_cancel}");
+        assert_eq!(received_bytes(), 0, "cancel: {can_cancel}");
     }
 }
 
 /// Number of clients that disconnect at the same time.
 const CLIENTS: usize = 100;
 
-/// Opens the clients, sends one request on each, and waits until the event `logged` has occurred for all of
-/// them.
-fn open_clients(proxy: &ProxyProcess, class: &str, logged: &str) -> Vec<Client> {
-    let before = proxy.count_in_log(logged);
+/// Opens [`CLIENTS`] connections, sends one request on each, and waits until the log contains `event` for all
+/// of them.
+fn open_clients(proxy: &ProxyProcess, class: &str, event: &str) -> Vec<Client> {
+    let before = proxy.count_in_log(event);
     let open = |_| {
         let mut client = Client::open(proxy.address);
         client.send(&request(class, 60_000));
         client
     };
     let clients = (0..CLIENTS).map(open).collect();
-    wait_until("the requests of all clients", || proxy.count_in_log(logged) >= before + CLIENTS);
+    wait_until("the log event for every client", || proxy.count_in_log(event) >= before + CLIENTS);
     clients
 }
 
@@ -107,7 +109,7 @@
     wait_until("all clients to be logged as disconnected", || {
         proxy.count_in_log("request ended outcome=client_disconnected ") >= before + CLIENTS
     });
-    assert!(began.elapsed() < Duration::from_secs(2), "{:?}", began.elapsed());
+    assert!(began.elapsed() < Duration::from_secs(2), "detected after {:?}", began.elapsed());
 }
 
 /// Guards against queued requests that are sent although their clients have disconnected.
@@ -121,7 +123,9 @@
         // One client stays connected: its request is sent once a backend is ready.
         let mut staying_client = Client::open(proxy.address);
         staying_client.send(&request("read", 60_000));
-        wait_until("its request to be queued", || proxy.count_in_log("request received ") == CLIENTS + 1);
+        wait_until("the request of the staying client to be queued", || {
+            proxy.count_in_log("request received ") == CLIENTS + 1
+        });
         if is_shutting_down {
             proxy.terminate();
         }
@@ -171,7 +175,7 @@
         let slow_address = format!("address={}", slow_backend.address);
         let is_dispatch = |line: &&str| line.contains("attempt dispatched ") && line.contains(&slow_address);
         wait_until("all requests to be received", || proxy.count_in_log("request received ") == 3 * CLIENTS);
-        wait_until("two connecting attempts", || proxy.log().lines().filter(is_dispatch).count() >= 2);
+        wait_until("two attempts to connect", || proxy.log().lines().filter(is_dispatch).count() >= 2);
         if is_shutting_down {
             proxy.terminate();
         }
@@ -180,7 +184,7 @@
             proxy.count_in_log("request ended outcome=client_disconnected ") + answered_count(&proxy)
                 >= CLIENTS
         });
-        let bytes = slow_backend.accept();
+        let received_bytes = slow_backend.accept();
         if is_shutting_down {
             assert!(proxy.wait_for_exit().success());
         } else {
@@ -188,7 +192,7 @@
                 || proxy.count_in_log("attempt ended ") >= proxy.count_in_log("attempt dispatched ");
             wait_until("all attempts to end", all_ended);
         }
-        assert_eq!(bytes(), 0, "shutting down: {is_shutting_down}, cancel: {can_cancel}");
+        assert_eq!(received_bytes(), 0, "shutting down: {is_shutting_down}, cancel: {can_cancel}");
     }
 }
 
--- a/tests/proxy/close_delimited_responses.rs
+++ b/tests/proxy/close_delimited_responses.rs
@@ -15,7 +15,7 @@
     Close,
     /// Shuts down only its sending side.
     HalfClose,
-    /// Resets the connection after this delay from the last byte.
+    /// Resets the connection this long after the last byte.
     Reset(Duration),
 }
 
@@ -59,7 +59,7 @@
     }
 }
 
-/// Returns the responses to one request of each class that is not freely retriable, sent after a warm-up.
+/// Returns the responses to one request of each class that is not idempotent, sent after a warm-up.
 fn responses_per_class(head: &'static str, end: ConnectionEnd) -> Vec<Message> {
     let backend = start_close_delimited_backend(head, end);
     let discovery = Discovery::start();
--- a/tests/proxy/configuration.rs
+++ b/tests/proxy/configuration.rs
@@ -7,7 +7,7 @@
 use serde_json::{json, Value};
 use std::net::TcpListener;
 
-/// Guards against valid settings, absent or at their limits, with which the proxy does not serve.
+/// Guards against valid settings, absent or at their limits, with which the proxy does not start or serve.
 #[test]
 fn settings_at_their_limits_start_and_serve() {
     let cases = [
@@ -94,6 +94,6 @@
         let mut proxy = ProxyProcess::launch(&with_value(&valid, pointer, value));
         assert!(!proxy.wait_for_exit().success());
         wait_until("the error message", || proxy.log().contains(message));
-        assert_eq!(proxy.log().lines().count(), 1, "{}", proxy.log());
+        assert_eq!(proxy.log().lines().count(), 1, "expected one line: {}", proxy.log());
     }
 }
--- a/tests/proxy/connections.rs
+++ b/tests/proxy/connections.rs
@@ -7,7 +7,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-/// Guards against a request that fails because its backend closed the idle connection before.
+/// Guards against a request that fails because its backend has closed the pooled connection.
 #[test]
 fn a_stale_pooled_connection_does_not_use_up_an_attempt() {
     let is_first = AtomicBool::new(true);
@@ -17,7 +17,7 @@
     });
     let (proxy, _discovery) = start_proxy_for(&[("a", &backend)]);
     assert_eq!(send_request(&proxy, &request("pay", 7000)).status(), 200);
-    wait_until("pooled connection closed", || backend.closed_connections() == 1);
+    wait_until("the pooled connection to close", || backend.closed_connections() == 1);
     assert_eq!(send_request(&proxy, &request("pay", 7000)).status(), 200);
     assert_eq!((backend.requests().len(), backend.opened_connections()), (2, 2));
 }
@@ -45,7 +45,7 @@
     }
     assert_eq!((backend.opened_connections(), backend.closed_connections()), (2, 0));
     // Otherwise the idle connections of many proxies would fill the connection tables of unused backends.
-    wait_until("both idle connections closed", || backend.closed_connections() == 2);
+    wait_until("both idle connections to close", || backend.closed_connections() == 2);
 }
 
 /// Guards against writing a request to a backend that started to drain during the connect.
@@ -58,7 +58,9 @@
     ));
     let mut client = Client::open(proxy.address);
     client.send(&request("pay", 30_000));
-    wait_until("first attempt dispatched", || proxy.log().contains("attempt dispatched attempt=0 "));
+    wait_until("the first attempt to be dispatched", || {
+        proxy.log().contains("attempt dispatched attempt=0 ")
+    });
     discovery.publish_delta(&[endpoint("a", slow_backend.address, "draining", 0)]);
     let received_bytes = slow_backend.accept();
     assert_eq!(client.read_response().map(|response| response.status()), Some(503));
@@ -72,10 +74,10 @@
     let (proxy, discovery) = start_proxy_for(&[("a", &old)]);
     assert_eq!(send_request(&proxy, &request("read", 7000)).body, b"old");
     discovery.publish_delta(&[endpoint("a", old.address, "ready", 1_700_000_000_000)]);
-    wait_until("connection to the previous process closed", || old.closed_connections() == 1);
+    wait_until("the connection to the previous process to close", || old.closed_connections() == 1);
     assert_eq!(send_request(&proxy, &request("read", 7000)).body, b"old");
     assert_eq!(old.opened_connections(), 2);
     discovery.publish_delta(&[endpoint("a", new.address, "ready", 1_700_000_000_000)]);
-    wait_until("connection to the previous address closed", || old.closed_connections() == 2);
+    wait_until("the connection to the previous address to close", || old.closed_connections() == 2);
     assert_eq!(send_request(&proxy, &request("read", 7000)).body, b"new");
 }
--- a/tests/proxy/deadlines.rs
+++ b/tests/proxy/deadlines.rs
@@ -12,12 +12,16 @@
     let backend = Backend::start(|_| Reply::NoResponse);
     let (proxy, _discovery) = start_proxy_for(&[("a", &backend)]);
     assert_eq!(send_request(&proxy, &request("pay", 500)).status(), 502);
-    wait_until("connection of the timed-out attempt closed", || backend.closed_connections() == 1);
+    wait_until("the connection of the timed-out attempt to close", || backend.closed_connections() == 1);
     for time_left_ms in (0..16).cycle().take(160) {
         let status = send_request(&proxy, &request("read", time_left_ms)).status();
         assert!(matches!(status, 502 | 503), "time left {time_left_ms} ms: status {status}");
     }
-    assert!(!proxy.log().contains("request unanswered at its deadline"), "{}", proxy.log());
+    assert!(
+        !proxy.log().contains("request unanswered at its deadline"),
+        "a deadline was missed: {}",
+        proxy.log()
+    );
 }
 
 /// Guards against a rejection that is sent after the deadline or lacks Retry-After.
@@ -26,7 +30,7 @@
     let (discovery, backend) = (Discovery::start(), Backend::start(|_| ok_response("x")));
     let proxy =
         ProxyProcess::spawn(&config(discovery.address, &[endpoint("a", backend.address, "draining", 0)]));
-    wait_until("readiness check to return 503", || proxy.readiness_status() == 503);
+    wait_until("the readiness probe to return 503", || proxy.readiness_status() == 503);
     // No backend is ready, so the request stays queued until it can no longer be served in time.
     let response = send_request(&proxy, &request("read", 100));
     assert_eq!(response.status(), 503);
@@ -49,7 +53,9 @@
     discovery.publish_delta(&[endpoint("b", slow_backend.address, "ready", 0)]);
     let mut client = Client::open(proxy.address);
     client.send(&request("vote", 30_000));
-    wait_until("retry dispatched", || proxy.log().contains(&format!("address={}", slow_backend.address)));
+    wait_until("the retry to be dispatched", || {
+        proxy.log().contains(&format!("address={}", slow_backend.address))
+    });
     std::thread::sleep(Duration::from_millis(1300)); // longer than the idempotency window
     let received_bytes = slow_backend.accept();
     assert_eq!(client.read_response().map(|response| response.status()), Some(502));
--- a/tests/proxy/discovery_lists.rs
+++ b/tests/proxy/discovery_lists.rs
@@ -144,17 +144,17 @@
 fn a_lost_call_for_a_pushed_list_is_repeated_in_time() {
     let backend = Backend::start(|_| ok_response("x"));
     let (_proxy, discovery) = start_proxy_for(&[("a", &backend)]);
-    wait_until("the watch", || discovery.call_count() > 0);
+    wait_until("the first call to discovery", || discovery.call_count() > 0);
     for reply in [Reply::NoResponse, Reply::SendAndClose(String::new()), Reply::NoResponse, Reply::NoResponse]
     {
         let began = Instant::now();
         discovery.respond(reply);
         // The drain notice limit is one second here; the rest allows for a loaded machine.
-        assert!(began.elapsed() < Duration::from_secs(3), "{:?}", began.elapsed());
+        assert!(began.elapsed() < Duration::from_secs(3), "the next call came after {:?}", began.elapsed());
     }
 }
 
-/// Guards against a watch that does not resume after a failure when the list is subscribed to.
+/// Guards against a watch that does not resume after a failure when the proxy subscribes to the list.
 #[test]
 fn a_lost_subscription_is_renewed() {
     let backend = Backend::start(|_| ok_response("x"));
@@ -165,7 +165,7 @@
     discovery.respond_with_body("no list");
     assert_eq!(proxy.readiness_status(), 503);
     discovery.publish_snapshot(&[endpoint("a", backend.address, "ready", 0)]);
-    wait_until("ready", || proxy.readiness_status() == 200);
+    wait_until("the proxy to be ready", || proxy.readiness_status() == 200);
     assert_eq!(send_request(&proxy, &request("read", 7000)).status(), 200);
 }
 
@@ -189,9 +189,9 @@
         })
         .collect();
     // Each wait plus the time for the response leaves at least one second of the 6 s for the next call.
-    assert!(waits.iter().all(|wait_ms| (1_500..=3_500).contains(wait_ms)), "{waits:?}");
+    assert!(waits.iter().all(|wait_ms| (1_500..=3_500).contains(wait_ms)), "waits in ms: {waits:?}");
     let all_differ = waits.windows(2).all(|pair| pair[0].abs_diff(pair[1]) >= 400);
-    assert!(all_differ, "{waits:?}");
+    assert!(all_differ, "waits in ms: {waits:?}");
 }
 
 /// Guards against memory that grows with every backend and kind ever listed.
--- a/tests/proxy/discovery_recovery.rs
+++ b/tests/proxy/discovery_recovery.rs
@@ -103,11 +103,13 @@
     assert_eq!(proxy.readiness_status(), 503);
     service.has_recovered.store(true, Ordering::SeqCst);
     let began = Instant::now();
-    wait_until("the list", || proxy.log().contains("endpoint list received version=7 entries=1"));
+    wait_until("the list of the recovered service", || {
+        proxy.log().contains("endpoint list received version=7 entries=1")
+    });
     began.elapsed()
 }
 
-/// Guards against a proxy that never calls without a cached list, or waits 21.5 s for a lost call.
+/// Guards against a proxy that never calls discovery without a cached list, or repeats a lost call too late.
 #[test]
 fn a_proxy_has_the_list_within_6_s_of_the_recovery() {
     let faults = [
@@ -129,7 +131,7 @@
     let results: Vec<_> = runs.into_iter().map(|(run, name)| (run.join(), name)).collect();
     let is_late = |after: &std::thread::Result<Duration>| !matches!(after, Ok(t) if *t <= NOTIFICATION_LIMIT);
     let late: Vec<_> = results.iter().filter(|(after, _)| is_late(after)).collect();
-    assert!(late.is_empty(), "{late:?}");
+    assert!(late.is_empty(), "received too late or never: {late:?}");
 }
 
 /// Time that an overloaded service takes for one call.
@@ -194,7 +196,7 @@
 
 /// Guards against a thundering herd of starting proxies whose rejected calls are repeated too late.
 #[test]
-fn nine_in_ten_proxies_that_start_together_are_ready_within_10_s() {
+fn nine_in_ten_starting_proxies_get_the_list_within_10_s() {
     const PROXIES: u32 = 40;
     let ready = endpoint("b", refusing_address(), "ready", 0);
     let service =
@@ -218,6 +220,6 @@
     wait_until("nine in ten proxies to have the list", || {
         proxies.iter().filter(is_notified).count() as u32 * 10 >= PROXIES * 9
     });
-    assert!(began.elapsed() < Duration::from_secs(10), "{:?}", began.elapsed());
+    assert!(began.elapsed() < Duration::from_secs(10), "the list was received after {:?}", began.elapsed());
     assert!(service.load.rejected.load(Ordering::SeqCst) > 0, "the service was not overloaded");
 }
--- a/tests/proxy/forwarding.rs
+++ b/tests/proxy/forwarding.rs
@@ -2,7 +2,7 @@
 
 use crate::support::{ok_response, request, send_request, start_proxy_for, Backend};
 
-/// Guards against the proxy altering a request or its response.
+/// Guards against altering a request, apart from its time left, or its response.
 #[test]
 fn requests_and_responses_are_forwarded_unchanged() {
     let backend = Backend::start(|_| ok_response("the answer"));
--- a/tests/proxy/graceful_shutdown.rs
+++ b/tests/proxy/graceful_shutdown.rs
@@ -22,9 +22,9 @@
     assert_eq!(idle_client.read_response().map(|response| response.status()), Some(200));
     let mut slow_client = Client::open(proxy.address);
     slow_client.send(&request("read", 7000).replace("/a?", "/slow?"));
-    wait_until("the slow request", || backend.requests().len() == 2);
+    wait_until("the slow request to reach the backend", || backend.requests().len() == 2);
     proxy.terminate();
-    wait_until("not ready", || proxy.readiness_status() != 200);
+    wait_until("the readiness probe to fail", || proxy.readiness_status() != 200);
     let response = slow_client.read_response().expect("a response to the request in flight");
     assert_eq!((response.status(), response.header("connection")), (200, Some("close")));
     assert!(idle_client.closes());
@@ -46,7 +46,7 @@
         wait_until("both requests to be received", || proxy.count_in_log("request received ") == 2);
         let began = Instant::now();
         proxy.terminate();
-        wait_until("not ready", || proxy.readiness_status() != 200);
+        wait_until("the readiness probe to fail", || proxy.readiness_status() != 200);
         clients[2].send(&request("read", 60_000));
         proxy.terminate();
         let before = proxy.count_in_log("SIGHUP");
@@ -56,8 +56,8 @@
             assert_eq!(client.read_response().map(|response| response.status()), Some(status));
         }
         assert!(proxy.wait_for_exit().success());
-        // Much earlier than the deadline of any request.
-        assert!(began.elapsed() < Duration::from_secs(6), "{:?}", began.elapsed());
+        // Much earlier than the requests' deadlines, 60 s after they were sent.
+        assert!(began.elapsed() < Duration::from_secs(6), "exited after {:?}", began.elapsed());
         assert!(!proxy.log().contains("ERROR"), "{}", proxy.log());
     }
 }
@@ -96,7 +96,7 @@
         let excess_stall = first_stall.saturating_sub(STALL) + second_stall.saturating_sub(STALL);
         assert!(
             status == Some(502) && began.elapsed() < kill_delay + excess_stall,
-            "{status:?} after {:?}",
+            "status {status:?} after {:?}",
             began.elapsed()
         );
     }
@@ -126,7 +126,7 @@
     }
 }
 
-/// Guards against the first request of an accepted connection that is lost when the listener closes.
+/// Guards against losing the first request of an accepted connection when the listener closes.
 #[test]
 fn sigterm_waits_for_the_first_request_of_a_connection() {
     let backend = Backend::start(|_| ok_response("x"));
--- a/tests/proxy/idle_clients.rs
+++ b/tests/proxy/idle_clients.rs
@@ -51,10 +51,10 @@
     config["limits"]["sockets"] = json!(64);
     let proxy = ProxyProcess::start(&config);
     let _idle_clients = IdleClients::start(proxy.address, 25);
-    wait_until("all connection slots to be in use", || {
+    wait_until("a failed call to discovery while the proxy is ready", || {
         proxy.readiness_status() == 200 && proxy.log().contains("discovery call failed ")
     });
-    std::thread::sleep(Duration::from_secs(3));
+    std::thread::sleep(Duration::from_secs(3)); // the idle clients fill all connection slots meanwhile
     let discovery = Discovery::start_on(reserved_port);
     discovery.publish_snapshot(&[endpoint("b", backend.address, "ready", 0)]);
     let began = Instant::now();
@@ -62,6 +62,6 @@
         assert_eq!(send_request(&proxy, &request("read", 7000)).status(), 200, "request {number}");
     }
     // There are sixteen slots, each freed within two seconds, and 25 new clients a second.
-    assert!(began.elapsed() < Duration::from_secs(20), "{:?}", began.elapsed());
+    assert!(began.elapsed() < Duration::from_secs(20), "the requests took {:?}", began.elapsed());
     assert!(!proxy.log().contains("accept failed "), "an accept failed although descriptors were available");
 }
--- a/tests/proxy/logging.rs
+++ b/tests/proxy/logging.rs
@@ -17,7 +17,7 @@
         let text = request(class, time_left_ms).replace("9b1f03aa5c7e2d41", id);
         send_request(&proxy, &text).status()
     };
-    let lines = |id: &str| -> Vec<String> {
+    let lines_of = |id: &str| -> Vec<String> {
         let field = format!(" correlation_id={id} ");
         proxy.log().lines().filter(|line| line.contains(&field)).map(str::to_string).collect()
     };
@@ -25,23 +25,23 @@
     // This comes before the request that times out, after which the balancer may eject the only backend.
     let mut disconnecting_client = Client::open(proxy.address);
     disconnecting_client.send(&request("pay", 7000).replace("9b1f03aa5c7e2d41", "33cc"));
-    wait_until("the attempt", || lines("33cc").len() == 2);
+    wait_until("the attempt to be dispatched", || lines_of("33cc").len() == 2);
     drop(disconnecting_client);
     wait_until("the end of the request", || {
-        lines("33cc").iter().any(|line| line.contains("request ended outcome=client_disconnected "))
+        lines_of("33cc").iter().any(|line| line.contains("request ended outcome=client_disconnected "))
     });
     // The time left exceeds a quarter of the latency objective, which is the latency that the balancer
     // assumes for a class without any samples: a request with less time left may be abandoned.
     let cases = [("read", 7000, 200, "11aa", "served"), ("pay", 2000, 502, "22bb", "failed")];
     for (class, time_left_ms, status, id, outcome) in cases {
-        assert_eq!(status_of(class, time_left_ms, id), status, "{class}");
+        assert_eq!(status_of(class, time_left_ms, id), status, "class {class}");
         let end = format!("request ended outcome={outcome} ");
         let events = ["request received ", &address_field, "attempt ended attempt=0 ", &end];
-        wait_until("the last event of the request", || lines(id).len() == events.len());
-        let logged = lines(id);
+        wait_until("the last event of the request", || lines_of(id).len() == events.len());
+        let logged = lines_of(id);
         assert!(
             events.iter().all(|event| logged.iter().any(|line| line.contains(event))),
-            "{class}: {logged:?}"
+            "class {class}: an event is missing in {logged:?}"
         );
     }
 }
--- a/tests/proxy/malformed_requests.rs
+++ b/tests/proxy/malformed_requests.rs
@@ -31,7 +31,7 @@
         ("nonsense\r\n\r\n".into(), 400),
     ];
     for (text, status) in cases {
-        assert_eq!(send_request(&proxy, &text).status(), status, "{}", &text[..text.len().min(300)]);
+        assert_eq!(send_request(&proxy, &text).status(), status, "request: {}", &text[..text.len().min(300)]);
     }
     assert!(backend.requests().is_empty());
     // The largest remaining time that can be represented is valid.
@@ -41,7 +41,7 @@
 
 /// Guards against a response that is lost because a connection with unread bytes is reset.
 #[test]
-fn unread_bytes_do_not_destroy_the_response() {
+fn the_response_arrives_despite_unread_bytes() {
     let backend = Backend::start(|_| ok_response("x"));
     let (proxy, _discovery) = start_proxy_for(&[("a", &backend)]);
     let (read, pay, extra) = (request("read", 7000), request("pay", 7000), "x".repeat(200_000));
@@ -59,7 +59,7 @@
         assert_eq!(client.read_response().map(|response| response.status()), Some(status));
         assert!(
             next.is_none() || client.read_response().map(|response| response.status()) == next,
-            "after {status}: {:.80}",
+            "unexpected second response after {status}: {:.80}",
             text
         );
         assert!(client.closes_without_reset(), "reset after {status}: {:.80}", text);
@@ -72,8 +72,8 @@
     }
 }
 
-/// Guards against pipelined requests that are answered out of order, and an incomplete request that is
-/// forwarded.
+/// Guards against pipelined requests that are answered out of order, and an incomplete or overlong request
+/// that is forwarded.
 #[test]
 fn pipelined_requests_are_answered_in_order_and_truncated_ones_rejected() {
     let backend = Backend::start(|message| {
--- a/tests/proxy/reload/changed_settings.rs
+++ b/tests/proxy/reload/changed_settings.rs
@@ -33,12 +33,17 @@
 /// Guards against limits that keep their initial values after a reload.
 #[test]
 fn changed_limits_take_effect() {
-    let backend =
-        Backend::start(|m| if m.start_line.contains("/pay/") { Reply::NoResponse } else { ok_response("x") });
+    let backend = Backend::start(|message| {
+        if message.start_line.contains("/pay/") {
+            Reply::NoResponse
+        } else {
+            ok_response("x")
+        }
+    });
     let ReloadableProxy { proxy, mut config, .. } = start_reloadable_proxy(&[&backend]);
     let mut waiting = Client::open(proxy.address);
     waiting.send(&request("pay", 60_000));
-    wait_until("the attempt", || backend.requests().len() == 1);
+    wait_until("the attempt to reach the backend", || backend.requests().len() == 1);
     assert_eq!(send_request(&proxy, &request("read", 7000)).status(), 200);
     config["settings"]["limits"]["open_cap"] = json!(1);
     reload(&proxy, &config);
@@ -76,13 +81,13 @@
     (config["settings"]["group_size"], config["settings"]["position"]) = (json!(100), json!(7));
     reload(&proxy, &config);
     let subset_at_7 = used_backends();
-    assert!(subset_at_7.len() <= 8, "{subset_at_7:?}");
+    assert!(subset_at_7.len() <= 8, "the subset is too large: {subset_at_7:?}");
     config["settings"]["position"] = json!(8);
     reload(&proxy, &config);
     let subset_at_8 = used_backends();
     assert!(
         subset_at_8.iter().all(|backend| !subset_at_7.contains(backend)),
-        "{subset_at_7:?}, {subset_at_8:?}"
+        "the subsets overlap: {subset_at_7:?}, {subset_at_8:?}"
     );
 }
 
@@ -94,13 +99,13 @@
     config["settings"]["rules"]["stop_sending_within_us"] = json!(3_000_000);
     reload(&proxy, &config);
     let has_called_with = |wait: &str| discovery.request_lines().iter().any(|call| call.contains(wait));
-    wait_until("a call that waits for half the limit", || has_called_with("wait_ms=1500"));
+    wait_until("a call that waits for half the drain notice limit", || has_called_with("wait_ms=1500"));
     assert!(!has_called_with("wait_ms=200"));
     config["settings"]["rules"]["stop_sending_within_us"] = json!(400_000);
     reload(&proxy, &config);
     let began = Instant::now();
-    wait_until("a call that waits for half the limit", || has_called_with("wait_ms=200"));
-    assert!(began.elapsed() < Duration::from_secs(3), "{:?}", began.elapsed());
+    wait_until("a call that waits for half the drain notice limit", || has_called_with("wait_ms=200"));
+    assert!(began.elapsed() < Duration::from_secs(3), "the new wait was used after {:?}", began.elapsed());
 }
 
 /// Guards against a change of a restart-only key that takes effect at once, or is ignored without a log
--- a/tests/proxy/reload/discovery_address.rs
+++ b/tests/proxy/reload/discovery_address.rs
@@ -17,7 +17,7 @@
         let mut config = config(old.address, &[endpoint("a", backend_a.address, "ready", 0)]);
         config["settings"]["discovery"] = json!(mode);
         let proxy = ProxyProcess::start(&config);
-        wait_until("the first call", || old.call_count() > 0);
+        wait_until("the first call to discovery", || old.call_count() > 0);
         let config_with = |pointer: &str, value: Value| with_value(&config, pointer, value).to_string();
         let rejected_files = [
             String::new(),
@@ -66,9 +66,9 @@
     proxy.reload(&config.to_string());
     wait_until("a call at the new address", || new.call_count() == 1);
     let began = Instant::now();
-    wait_until("a second call", || new.call_count() == 2);
+    wait_until("a second call at the new address", || new.call_count() == 2);
     // One second later, no request may be sent to a draining backend any more.
-    assert!(began.elapsed() < Duration::from_secs(5), "{:?}", began.elapsed());
-    assert!(!proxy.log().contains("subscription lost"), "{}", proxy.log());
+    assert!(began.elapsed() < Duration::from_secs(5), "the second call came after {:?}", began.elapsed());
+    assert!(!proxy.log().contains("subscription lost"), "the subscription was lost: {}", proxy.log());
     assert_eq!(send_request(&proxy, &request("read", 7000)).status(), 200, "the current list was dropped");
 }
--- a/tests/proxy/reload/large_files.rs
+++ b/tests/proxy/reload/large_files.rs
@@ -29,7 +29,7 @@
             };
             proxy.reload(&text);
         }
-        wait_until("the class of the last file", || {
+        wait_until("the class of the last file to be served", || {
             send_request(&proxy, &request_of_class(&format!("c{last}"), "GET")).status() == 200
         });
         assert_eq!(
@@ -44,7 +44,7 @@
         .iter()
         .filter_map(|line| line.strip_prefix("configuration ")?.split(' ').next()?.parse().ok())
         .collect();
-    assert!(versions.windows(2).all(|pair| pair[0] <= pair[1]), "{versions:?}");
+    assert!(versions.windows(2).all(|pair| pair[0] <= pair[1]), "versions out of order: {versions:?}");
 }
 
 /// Returns a configuration with this many classes and tenants.
@@ -110,7 +110,7 @@
         let before = ended_reloads(&proxy);
         let began = Instant::now();
         proxy.reload(&texts[(number + 1) % 2]);
-        wait_until("the reload", || ended_reloads(&proxy) > before);
+        wait_until("the reload to end", || ended_reloads(&proxy) > before);
         longest_reload = longest_reload.max(began.elapsed());
         std::thread::sleep(Duration::from_millis(50));
     }
@@ -122,7 +122,7 @@
     );
     assert!(longest_reload < Duration::from_secs(3), "applied after {longest_reload:?}");
     // Much longer than on an idle machine, much shorter than reading the whole file.
-    assert!(longest < Duration::from_millis(250), "{longest:?}");
+    assert!(longest < Duration::from_millis(250), "the longest request took {longest:?}");
 }
 
 /// Guards against memory leaks of replaced configurations.
@@ -157,7 +157,7 @@
             .to_string();
     let mut client = Client::open(proxy.address);
     client.send(&request("pay", 7000));
-    wait_until("the attempt", || backend.requests().len() == 1);
+    wait_until("the attempt to reach the backend", || backend.requests().len() == 1);
     let began = Instant::now();
     proxy.terminate();
     for _ in 0..20 {
@@ -167,6 +167,6 @@
     assert_eq!(client.read_response().map(|response| response.status()), Some(200));
     assert!(client.closes_without_reset(), "the connection was reset");
     assert!(proxy.wait_for_exit().success());
-    assert!(began.elapsed() < Duration::from_secs(5), "{:?}", began.elapsed());
+    assert!(began.elapsed() < Duration::from_secs(5), "exited after {:?}", began.elapsed());
     assert!(!proxy.log().contains("ERROR"), "{}", proxy.log());
 }
--- a/tests/proxy/reload/mod.rs
+++ b/tests/proxy/reload/mod.rs
@@ -28,7 +28,7 @@
 fn reload(proxy: &ProxyProcess, config: &Value) {
     let before = ended_reloads(proxy);
     proxy.reload(&config.to_string());
-    wait_until("a log line of the reload", || ended_reloads(proxy) > before);
+    wait_until("the reload to end", || ended_reloads(proxy) > before);
     let last = reload_log(proxy).pop().unwrap();
     assert!(last.contains("configuration in force"), "{last}");
 }
--- a/tests/proxy/reload/rejected_files.rs
+++ b/tests/proxy/reload/rejected_files.rs
@@ -64,7 +64,7 @@
     assert_rejected("expected a readable file");
     assert_eq!(other_discovery.call_count(), 0);
     discovery.publish_delta(&[endpoint("s0", backend.address, "draining", 0)]);
-    wait_until("the drain listed by the old discovery", || proxy.readiness_status() == 503);
+    wait_until("the drain published by the old discovery to be applied", || proxy.readiness_status() == 503);
     reload(&proxy, &other);
     wait_until("a call to the new discovery", || other_discovery.call_count() > 0);
 }
--- a/tests/proxy/reload/requests_in_flight.rs
+++ b/tests/proxy/reload/requests_in_flight.rs
@@ -51,7 +51,7 @@
     };
     let mut client = Client::open(proxy.address);
     client.send(&request_of_class("odd", if effect == "free" { "GET" } else { "POST" }));
-    wait_until("the attempt", || attempts() == 1);
+    wait_until("the attempt to reach a backend", || attempts() == 1);
     let others = vec![class("read", "free"), class("vote", "guarded")];
     let odd = new_effect.map(|effect| class("odd", effect));
     config["settings"]["profiles"] = odd.into_iter().chain(others).collect();
--- a/tests/proxy/resource_exhaustion.rs
+++ b/tests/proxy/resource_exhaustion.rs
@@ -21,7 +21,7 @@
         (Backend::start(|_| ok_response("x")), Discovery::start(), Faults::none());
     let config = config(discovery.address, &[endpoint("a", backend.address, "ready", 0)]);
     let mut proxy = ProxyProcess::spawn_with_faults(&faults, &config);
-    wait_until("proxy ready", || proxy.readiness_status() == 200);
+    wait_until("the proxy to be ready", || proxy.readiness_status() == 200);
     faults.fail_accepts(percent);
     proxy.terminate();
     let began = Instant::now();
@@ -44,28 +44,32 @@
 #[test]
 fn clients_connecting_during_shutdown_are_answered_despite_failing_accepts() {
     for percent in [20, 50, 80] {
-        assert_eq!(unanswered_during_shutdown(percent), 0, "{percent} % of the accepts fail");
+        assert_eq!(
+            unanswered_during_shutdown(percent),
+            0,
+            "unanswered clients while {percent} % of the accepts fail"
+        );
     }
 }
 
 /// Guards against local resource exhaustion that counts against the backend or uses up an attempt.
 #[test]
 fn connects_that_fail_for_lack_of_resources_are_retried() {
-    let closing =
+    let start_closing_backend =
         || Backend::start(|_| Reply::SendAndClose("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx".into()));
-    let (backend, discovery, faults) = (closing(), Discovery::start(), Faults::none());
+    let (backend, discovery, faults) = (start_closing_backend(), Discovery::start(), Faults::none());
     let proxy = ProxyProcess::spawn_with_faults(
         &faults,
         &config(discovery.address, &[endpoint("a", backend.address, "ready", 0)]),
     );
-    wait_until("proxy ready", || proxy.readiness_status() == 200);
+    wait_until("the proxy to be ready", || proxy.readiness_status() == 200);
     faults.fail_connects(50);
     for number in 0..60 {
         assert_eq!(send_request(&proxy, &request("pay", 7000)).status(), 200, "request {number}");
     }
     assert_eq!(backend.requests().len(), 60);
-    assert!(!proxy.log().contains("backend ejected"), "{}", proxy.log());
-    assert!(!proxy.log().contains("attempt=1 "), "{}", proxy.log());
+    assert!(!proxy.log().contains("backend ejected"), "the backend was ejected: {}", proxy.log());
+    assert!(!proxy.log().contains("attempt=1 "), "a second attempt was made: {}", proxy.log());
 }
 
 /// Guards against a discovery call that lacks a local socket and waits for the backoff meant for a failing
@@ -80,24 +84,24 @@
     let proxy = ProxyProcess::spawn_with_faults(&faults, &config);
     let list = json!({"index": 1, "snapshot": true,
         "endpoints": [endpoint("a", backend.address, "ready", 0)]});
-    let closing = |text: &str| {
+    let closing_response = |text: &str| {
         format!("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: {}\r\n\r\n{text}", text.len())
     };
     // Each response closes its connection, so that every call needs a new one.
     for _ in 0..10 {
-        discovery.respond(Reply::SendAndClose(closing(&list.to_string())));
+        discovery.respond(Reply::SendAndClose(closing_response(&list.to_string())));
     }
-    assert!(!proxy.log().contains("subscription lost"), "{}", proxy.log());
+    assert!(!proxy.log().contains("subscription lost"), "the subscription was lost: {}", proxy.log());
 }
 
-/// Guards against losing a reload because a file could not be opened or a thread not be started for a moment.
+/// Guards against losing a reload because opening a file or starting a thread fails transiently.
 #[test]
 fn a_reload_that_briefly_lacks_resources_succeeds() {
     let (backend, faults) = (Backend::start(|_| ok_response("x")), Faults::none());
     let mut discovery = Discovery::start();
     let mut config = config(discovery.address, &[endpoint("a", backend.address, "ready", 0)]);
     let proxy = ProxyProcess::spawn_with_faults(&faults, &config);
-    wait_until("proxy ready", || proxy.readiness_status() == 200);
+    wait_until("the proxy to be ready", || proxy.readiness_status() == 200);
     faults.fail_reloads(50);
     for number in 0..10 {
         discovery = Discovery::start();
@@ -108,6 +112,6 @@
         while !is_called() && began.elapsed() < Duration::from_secs(4) {
             std::thread::sleep(Duration::from_millis(5));
         }
-        assert!(is_called(), "reload {number}: {}", proxy.log());
+        assert!(is_called(), "reload {number} was lost: {}", proxy.log());
     }
 }
--- a/tests/proxy/slow_clients.rs
+++ b/tests/proxy/slow_clients.rs
@@ -6,8 +6,8 @@
 use serde_json::json;
 use std::time::{Duration, Instant};
 
-/// Time after which a peer that does not send a complete request must have got an error or a closed
-/// connection.
+/// Time within which a peer that does not send a complete request must receive an error response or be
+/// disconnected.
 const STALLED_PEER_LIMIT: Duration = Duration::from_secs(3);
 
 fn sleep_ms(ms: u64) {
@@ -54,6 +54,7 @@
         send_slowly(&mut client, &request("pay", 7000), 30, 350);
         client.read_response().map(|response| response.status())
     };
+    // Just below the 2 s after which a proxy may close an idle connection.
     let idle_times_ms = [1700, 1800, 1900, 1950];
     let cases: Vec<_> = [true, false]
         .iter()
@@ -134,7 +135,7 @@
         time_to_close(stalled_peer, &proxy)
     };
     for (case, after) in run_concurrently(&STALLED_PEERS, run) {
-        assert!(after < STALLED_PEER_LIMIT, "{after:?}: {case:?}");
+        assert!(after < STALLED_PEER_LIMIT, "closed after {after:?}: {case:?}");
     }
 }
 
@@ -158,7 +159,7 @@
         let response = peer.read_response();
         assert!(response.as_ref().is_none_or(|response| response.status() >= 400), "{response:?}");
     }
-    assert!(began.elapsed() < STALLED_PEER_LIMIT, "{:?}", began.elapsed());
+    assert!(began.elapsed() < STALLED_PEER_LIMIT, "the last peer was closed after {:?}", began.elapsed());
 }
 
 /// Guards against an incomplete request that is not answered during shutdown.
@@ -195,7 +196,7 @@
         peer.send(&text);
         let response = peer.read_response();
         assert!(response.as_ref().is_none_or(|response| response.status() >= 400), "{response:?}");
-        assert!(began.elapsed() < Duration::from_secs(6), "{:?} for {:.30}", began.elapsed(), text);
+        assert!(began.elapsed() < Duration::from_secs(6), "closed after {:?}: {:.30}", began.elapsed(), text);
     }
     assert!(backend.requests().is_empty());
 }
--- a/tests/proxy/soak.rs
+++ b/tests/proxy/soak.rs
@@ -95,7 +95,7 @@
         draw_config(random, &discovery, &endpoints, idempotency_window);
     faults.set_clock_offset([0, 10, 3600, -3600][below(random, 4) as usize]);
     let proxy = ProxyProcess::spawn_with_faults(&faults, &config);
-    wait_until("proxy ready", || proxy.readiness_status() == 200);
+    wait_until("the proxy to be ready", || proxy.readiness_status() == 200);
     Run { proxy, config, faults, discovery, backends, record, longest_deadline_ms }
 }
 
--- a/tests/proxy/soak/clients.rs
+++ b/tests/proxy/soak/clients.rs
@@ -30,6 +30,7 @@
             };
             reusable_client = self.send_request(client);
             std::thread::sleep(Duration::from_millis(below(&mut self.random, 60)));
+            // Sometimes idles for about the idle timeout of the proxy, 2.1 s.
             if one_in(&mut self.random, 40) {
                 std::thread::sleep(Duration::from_millis(1700 + below(&mut self.random, 500)));
             }
--- a/tests/proxy/soak/faults.rs
+++ b/tests/proxy/soak/faults.rs
@@ -12,7 +12,7 @@
 
 /// SIGKILL follows SIGTERM after the longest deadline plus this margin.
 const KILL_MARGIN: Duration = Duration::from_millis(700);
-/// Upper limit on the longest deadline in the time until SIGKILL.
+/// The longest deadline counts towards the time until SIGKILL up to this limit.
 const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
 /// Difference between the start times of successive processes of one backend.
 const RESTART_INTERVAL_MS: u64 = 1000;
--- a/tests/proxy/soak/random.rs
+++ b/tests/proxy/soak/random.rs
@@ -8,7 +8,7 @@
     u64::from(random.next_u32()) % end
 }
 
-/// Returns `true` with probability `1 / many`.
-pub fn one_in(random: &mut Pcg32, many: u64) -> bool {
-    below(random, many) == 0
+/// Returns `true` with probability `1 / n`.
+pub fn one_in(random: &mut Pcg32, n: u64) -> bool {
+    below(random, n) == 0
 }
--- a/tests/proxy/soak/rules.rs
+++ b/tests/proxy/soak/rules.rs
@@ -46,20 +46,20 @@
         && drain.until.is_none_or(|until| attempt.at < until)
 }
 
-/// Violated if the request was accepted and had no response, or if its response was too late.
+/// Returns a violation if the proxy received the request and did not answer it, or answered it too late.
 fn check_response(id: u64, request: &RequestRecord, log: &str) -> Option<&'static str> {
     let field = format!(" correlation_id={id:x} ");
-    let is_accepted = || log.lines().any(|line| line.contains("request received ") && line.contains(&field));
+    let was_received = || log.lines().any(|line| line.contains("request received ") && line.contains(&field));
     let latest = request.sent + request.time_left + MAX_RESPONSE_DELAY + TEST_THREAD_DELAY;
     match request.outcome {
-        RequestOutcome::Unanswered if is_accepted() => Some("no response"),
+        RequestOutcome::Unanswered if was_received() => Some("no response"),
         RequestOutcome::Answered { at, .. } if at > latest => Some("late response"),
         _ => None,
     }
 }
 
-/// Violated if the request was retried although it may have been executed and may not be executed twice, or
-/// if it was rejected although it may have been executed.
+/// Returns a violation if the request was retried although it may have been executed and may not be executed
+/// twice, or if it was rejected although it may have been executed.
 fn check_retries(
     request: &RequestRecord, attempts: &[AttemptRecord], idempotency_window: Duration,
 ) -> Option<&'static str> {
@@ -76,8 +76,8 @@
     }
 }
 
-/// Violated if a backend received more time left than the client had, or an attempt after the client had
-/// disconnected.
+/// Returns a violation if a backend received more time left than the client had, or an attempt after the
+/// client had disconnected.
 fn check_attempts(request: &RequestRecord, attempts: &[AttemptRecord]) -> Option<&'static str> {
     for attempt in attempts {
         let time_left = request.time_left.saturating_sub(attempt.at.saturating_duration_since(request.sent));
--- a/tests/proxy/support/discovery.rs
+++ b/tests/proxy/support/discovery.rs
@@ -12,7 +12,7 @@
 
 #[derive(Default)]
 struct State {
-    /// Version of the last list.
+    /// Version of the last published list.
     version: u64,
     /// Reply to the pending call or, if there is none, to the next one.
     pending_reply: Option<Reply>,
@@ -21,7 +21,7 @@
 }
 
 /// A mock discovery service. A call is answered when the test provides a reply, or after the wait that the
-/// call requests. A call without a wait stays pending until then.
+/// call requests. A call without a wait is answered only by a reply from the test.
 #[derive(Clone)]
 pub struct Discovery {
     pub address: SocketAddr,
--- a/tests/proxy/support/faults.c
+++ b/tests/proxy/support/faults.c
@@ -21,6 +21,7 @@
 };
 
 static volatile const struct faults *faults;
+/* State of an xorshift32 generator. */
 static uint32_t random_state = 2463534242u;
 
 __attribute__((constructor)) static void map_faults_file(void) {
@@ -39,12 +40,14 @@
     return random_state;
 }
 
+/* Returns 1, with errno set to one of the errors, for this percentage of the calls; otherwise 0. */
 static int inject_failure(int64_t percent, const int *errors, size_t count) {
     if ((int64_t)(next_random() % 100) >= percent) return 0;
     errno = errors[next_random() % count];
     return 1;
 }
 
+/* The libc function that is replaced here. */
 #define REAL(name) ((__typeof__(&name))dlsym(RTLD_NEXT, #name))
 
 int accept4(int fd, struct sockaddr *restrict from, socklen_t *restrict length, int flags) {
--- a/tests/proxy/support/faults.rs
+++ b/tests/proxy/support/faults.rs
@@ -9,13 +9,13 @@
 /// Number of fault files created so far, for unique file names.
 static FAULT_FILES: AtomicUsize = AtomicUsize::new(0);
 
-/// Offsets of the fields of `struct faults` in `faults.c`.
-const CLOCK_OFFSET: u64 = 0;
-const ACCEPT_PERCENT: u64 = 8;
-const CONNECT_PERCENT: u64 = 16;
-const RELOAD_PERCENT: u64 = 24;
+/// Byte positions of the fields of `struct faults` in `faults.c`.
+const CLOCK_OFFSET_FIELD: u64 = 0;
+const ACCEPT_PERCENT_FIELD: u64 = 8;
+const CONNECT_PERCENT_FIELD: u64 = 16;
+const RELOAD_PERCENT_FIELD: u64 = 24;
 /// Size of `struct faults` in bytes.
-const SIZE: usize = 32;
+const FAULTS_SIZE: usize = 32;
 
 /// Faults injected into one proxy, which reads them from a file shared with its test.
 pub struct Faults {
@@ -28,33 +28,33 @@
     pub fn none() -> Faults {
         let number = FAULT_FILES.fetch_add(1, Ordering::Relaxed);
         let path = std::env::temp_dir().join(format!("faults-{}-{number}", std::process::id()));
-        std::fs::write(&path, [0; SIZE]).unwrap();
+        std::fs::write(&path, [0; FAULTS_SIZE]).unwrap();
         let file = std::fs::File::options().write(true).open(&path).unwrap();
         Faults { path, file }
     }
 
-    fn set(&self, offset: u64, value: i64) {
-        self.file.write_all_at(&value.to_ne_bytes(), offset).unwrap();
+    fn set(&self, field: u64, value: i64) {
+        self.file.write_all_at(&value.to_ne_bytes(), field).unwrap();
     }
 
     /// Sets the offset of the proxy's wall clock from the correct time.
     pub fn set_clock_offset(&self, seconds: i64) {
-        self.set(CLOCK_OFFSET, seconds * 1_000_000);
+        self.set(CLOCK_OFFSET_FIELD, seconds * 1_000_000);
     }
 
     /// Lets this percentage of accept calls fail.
     pub fn fail_accepts(&self, percent: i64) {
-        self.set(ACCEPT_PERCENT, percent);
+        self.set(ACCEPT_PERCENT_FIELD, percent);
     }
 
     /// Lets this percentage of socket and connect calls fail with resource and network errors.
     pub fn fail_connects(&self, percent: i64) {
-        self.set(CONNECT_PERCENT, percent);
+        self.set(CONNECT_PERCENT_FIELD, percent);
     }
 
     /// Lets this percentage of thread starts and of reads of the configuration file fail.
     pub fn fail_reloads(&self, percent: i64) {
-        self.set(RELOAD_PERCENT, percent);
+        self.set(RELOAD_PERCENT_FIELD, percent);
     }
 
     /// Returns the environment variables that inject the faults into a proxy.
--- a/tests/proxy/support/http.rs
+++ b/tests/proxy/support/http.rs
@@ -38,8 +38,8 @@
     Some(Header { name: name.to_lowercase(), value: value.trim().to_string() })
 }
 
-/// Reads one message whose body is framed by Content-Length or empty; `None` if the connection ends before
-/// the message is complete.
+/// Reads one message whose body is framed by Content-Length or empty; `None` if the connection ends, or a
+/// read fails or times out, before the message is complete.
 pub fn read_message(reader: &mut impl BufRead) -> Option<Message> {
     let mut lines = Vec::new();
     loop {
@@ -106,7 +106,8 @@
     Reply::Send(format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()))
 }
 
-/// Returns a request of one of the classes in [`settings`](super::settings).
+/// Returns a request of one of the classes in [`settings`](super::settings). Tests replace parts of it, such
+/// as the correlation id 9b1f03aa5c7e2d41.
 pub fn request(class: &str, time_left_ms: u64) -> String {
     let (method, more_headers) = match class {
         "read" => ("GET", ""),
--- a/tests/proxy/support/proxy_process.rs
+++ b/tests/proxy/support/proxy_process.rs
@@ -33,7 +33,7 @@
     /// Starts a proxy and waits until its readiness probe succeeds.
     pub fn start(config: &Value) -> ProxyProcess {
         let proxy = ProxyProcess::spawn(config);
-        wait_until("ready", || proxy.readiness_status() == 200);
+        wait_until("the proxy to be ready", || proxy.readiness_status() == 200);
         proxy
     }
 
@@ -128,7 +128,7 @@
     }
 
     /// Stops the process for `duration`, to simulate a stall, and runs `meanwhile` during that time. Returns
-    /// how long the process may have been stopped, which is longer on a loaded machine.
+    /// an upper bound of the time it was stopped, which exceeds `duration` on a loaded machine.
     pub fn stall(&self, duration: Duration, meanwhile: impl FnOnce()) -> Duration {
         let began = Instant::now();
         self.signal("-STOP");
--- a/tests/proxy/support/slow_accept_backend.rs
+++ b/tests/proxy/support/slow_accept_backend.rs
@@ -17,14 +17,15 @@
     pub fn start() -> SlowAcceptBackend {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
+        // A connect that times out shows that the listen queue is full.
         let connect_timeout = Duration::from_millis(300);
         let connect = || TcpStream::connect_timeout(&address, connect_timeout).ok();
         let queued = std::iter::from_fn(connect).take(10_000).collect();
         SlowAcceptBackend { listener, address, queued }
     }
 
-    /// Starts accepting connections. The returned function returns how many bytes were received on all of
-    /// them.
+    /// Starts accepting connections and reads once from each. The returned function ends this by sending
+    /// `done` on a connection of its own, and returns how many bytes were read from the others.
     pub fn accept(self) -> impl FnOnce() -> usize {
         let SlowAcceptBackend { listener, address, queued } = self;
         drop(queued);
--- a/tests/proxy/support/waiting.rs
+++ b/tests/proxy/support/waiting.rs
@@ -2,13 +2,14 @@
 
 use std::time::{Duration, Instant};
 
-/// Time after which a condition that does not hold is a failure; much longer than any test needs.
+/// Time after which a wait is a failure; much longer than any test needs.
 pub const FAILURE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Time between two checks of a condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Waits until a condition holds; panics after [`FAILURE_TIMEOUT`].
+/// Waits until a condition holds. Panics with "timed out waiting for: " and the description after
+/// [`FAILURE_TIMEOUT`].
 pub fn wait_until(description: &str, mut condition: impl FnMut() -> bool) {
     let end = Instant::now() + FAILURE_TIMEOUT;
     while !condition() {
--- a/tests/proxy/time_left.rs
+++ b/tests/proxy/time_left.rs
@@ -7,11 +7,11 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Longest stall of the proxy that has to be tolerated.
+/// Longest stall of the proxy that has to be tolerated; also the limit of the excess.
 const MAX_STALL: Duration = Duration::from_millis(150);
 
-/// Maximum excess caused by a stall before the request is read, which leaves the rest of the tolerance to a
-/// stall after the time left was sent.
+/// Limit of the excess after a stall before the request is read. The rest of the 0.15 s is left for a stall
+/// after the time left was sent.
 const MAX_EXCESS_BEFORE_READ: Duration = Duration::from_millis(60);
 
 /// The time left that a backend received, and when.
@@ -84,6 +84,7 @@
     let mut config = config(discovery.address, &[endpoint("a", backend.address, "ready", 0)]);
     config["limits"]["sockets"] = json!(64);
     let proxy = ProxyProcess::start(&config);
+    // From all sixteen connection slots in use to several times as many idle clients.
     for idle_count in [16, 40, 60] {
         let idle_clients: Vec<Client> = (0..idle_count).map(|_| Client::open(proxy.address)).collect();
         let (mut client, sent) = (Client::open(proxy.address), Instant::now());
--- a/tests/proxy/wall_clock.rs
+++ b/tests/proxy/wall_clock.rs
@@ -75,7 +75,8 @@
             let (fleet, faults) = (Fleet::start(), Faults::none());
             faults.set_clock_offset(offset);
             let proxy = ProxyProcess::spawn_with_faults(&faults, &fleet.config(&fleet.warm_endpoints(0)));
-            wait_until("ready", || proxy.readiness_status() == 200);
+            wait_until("the proxy to be ready", || proxy.readiness_status() == 200);
+            // Traffic before the new backend is listed; the returned share is not needed.
             share_sent_to(&proxy, &fleet.warming);
             let mut endpoints = if is_snapshot { fleet.warm_endpoints(0) } else { Vec::new() };
             endpoints.push(fleet.warming_endpoint(unix_ms_before_now(Duration::from_millis(500))));
@@ -87,7 +88,7 @@
             let share = share_sent_to(&proxy, &fleet.warming);
             assert!(
                 share < SLOW_START_SHARE_LIMIT,
-                "{share}, clock off by {offset} s, snapshot: {is_snapshot}"
+                "share {share}, clock off by {offset} s, snapshot: {is_snapshot}"
             );
         }
     }
@@ -112,7 +113,10 @@
             let proxy = ProxyProcess::spawn_with_faults(&faults, &fleet.config(&cached_endpoints));
             fleet.discovery.publish_snapshot(&endpoints);
             let share = share_sent_to(&proxy, &fleet.warming);
-            assert!(share < SLOW_START_SHARE_LIMIT, "{share}, clock off by {offset} s, cached: {cached}");
+            assert!(
+                share < SLOW_START_SHARE_LIMIT,
+                "share {share}, clock off by {offset} s, cached: {cached}"
+            );
         }
     }
 }
@@ -127,9 +131,12 @@
         let mut endpoints = fleet.warm_endpoints(unix_ms_before_now(Duration::from_secs(600)));
         endpoints.push(fleet.warming_endpoint(unix_ms_before_now(Duration::from_secs(60))));
         let proxy = ProxyProcess::spawn_with_faults(&faults, &fleet.config(&endpoints));
-        wait_until("ready", || proxy.readiness_status() == 200);
+        wait_until("the proxy to be ready", || proxy.readiness_status() == 200);
         let share = share_sent_to(&proxy, &fleet.warming);
         let rejected = proxy.count_in_log("request ended outcome=rejected ");
-        assert!(rejected < 10, "{rejected} rejected, {share} to the newest backend, clock off by {offset} s");
+        assert!(
+            rejected < 10,
+            "{rejected} rejected, share {share} to the newest backend, clock off by {offset} s"
+        );
     }
 }
