--- a/tests/proxy/discovery_lists.rs
+++ b/tests/proxy/discovery_lists.rs
@@ -188,7 +188,8 @@
             wait.split(' ').next().unwrap().parse().expect("a wait in milliseconds")
         })
         .collect();
-    // Each wait plus the time for the response leaves at least one second of the 6 s for the next call.
+    // Each wait plus 1.5 s for the response leaves at least one second of the notification limit of 6 s for the
+    // next call.
     assert!(waits.iter().all(|wait_ms| (1_500..=3_500).contains(wait_ms)), "waits in ms: {waits:?}");
     let all_differ = waits.windows(2).all(|pair| pair[0].abs_diff(pair[1]) >= 400);
     assert!(all_differ, "waits in ms: {waits:?}");
--- a/tests/proxy/discovery_recovery.rs
+++ b/tests/proxy/discovery_recovery.rs
@@ -99,7 +99,7 @@
     config["settings"]["limits"]["dial_timeout_us"] = json!(100_000);
     let config = if case.has_cached_list { config } else { with_value(&config, "/known", Value::Null) };
     let proxy = ProxyProcess::spawn(&config);
-    std::thread::sleep(Duration::from_secs(4));
+    std::thread::sleep(Duration::from_secs(4)); // the calls made in this time fail
     assert_eq!(proxy.readiness_status(), 503);
     service.has_recovered.store(true, Ordering::SeqCst);
     let began = Instant::now();
--- a/tests/proxy/logging.rs
+++ b/tests/proxy/logging.rs
@@ -6,7 +6,7 @@
 
 /// Guards against log events of a request or its attempts that lack the client's correlation id.
 #[test]
-fn a_request_can_be_followed_through_the_log_by_its_correlation_id() {
+fn all_log_events_of_a_request_carry_its_correlation_id() {
     let respond = |message: &Message| match message.start_line.contains("/pay/") {
         true => Reply::NoResponse,
         false => ok_response("x"),
--- a/tests/proxy/reload/changed_settings.rs
+++ b/tests/proxy/reload/changed_settings.rs
@@ -127,6 +127,7 @@
     for (pointer, value, message) in cases {
         let before = reload_log(&proxy).len();
         reload(&proxy, &with_value(&config, pointer, value));
+        // One line each for the key, the discovery address and the configuration.
         let new = &reload_log(&proxy)[before..];
         assert_eq!((new.len(), new[0].as_str()), (3, message), "{new:?}");
         assert!(new[2].starts_with("configuration in force version=1 classes=3 tenants=0"), "{new:?}");
--- a/tests/proxy/reload/discovery_address.rs
+++ b/tests/proxy/reload/discovery_address.rs
@@ -67,7 +67,8 @@
     wait_until("a call at the new address", || new.call_count() == 1);
     let began = Instant::now();
     wait_until("a second call at the new address", || new.call_count() == 2);
-    // One second later, no request may be sent to a draining backend any more.
+    // The platform considers the proxy notified 4 s after the signal; one second later, no request may be sent
+    // to a draining backend any more.
     assert!(began.elapsed() < Duration::from_secs(5), "the second call came after {:?}", began.elapsed());
     assert!(!proxy.log().contains("subscription lost"), "the subscription was lost: {}", proxy.log());
     assert_eq!(send_request(&proxy, &request("read", 7000)).status(), 200, "the current list was dropped");
--- a/tests/proxy/slow_clients.rs
+++ b/tests/proxy/slow_clients.rs
@@ -117,7 +117,7 @@
     let mut began = Instant::now();
     let mut peer = open(proxy, stalled_peer.served_before);
     if stalled_peer.served_before {
-        sleep_ms(1500);
+        sleep_ms(1500); // shorter than the idle timeout
         began = Instant::now();
     }
     peer.send(stalled_peer.text);
