--- a/tests/proxy/graceful_shutdown.rs
+++ b/tests/proxy/graceful_shutdown.rs
@@ -27,7 +27,7 @@
     wait_until("the readiness probe to fail", || proxy.readiness_status() != 200);
     let response = slow_client.read_response().expect("a response to the request in flight");
     assert_eq!((response.status(), response.header("connection")), (200, Some("close")));
-    assert!(idle_client.closes());
+    assert!(idle_client.receives_no_more_data());
     assert!(proxy.wait_for_exit().success());
 }
 
--- a/tests/proxy/reload/requests_in_flight.rs
+++ b/tests/proxy/reload/requests_in_flight.rs
@@ -99,6 +99,6 @@
             "expected {status}, got {received_status}"
         );
         client.stop_sending();
-        assert!(client.closes(), "more than one response");
+        assert!(client.receives_no_more_data(), "more than one response");
     }
 }
--- a/tests/proxy/support/client.rs
+++ b/tests/proxy/support/client.rs
@@ -53,7 +53,7 @@
 
     /// Waits until the connection is closed or reset, or the read times out; returns true if no data was
     /// received.
-    pub fn closes(&mut self) -> bool {
+    pub fn receives_no_more_data(&mut self) -> bool {
         matches!(self.stream.read(&mut [0]), Ok(0) | Err(_))
     }
 }
