--- a/tests/balancer/admission.rs
+++ b/tests/balancer/admission.rs
@@ -1,4 +1,5 @@
-//! Load shedding by admission control.
+//! Load shedding by admission control, which is active only with more than four proxies. The example
+//! configuration has a latency objective of 500 ms.
 
 use crate::support::{backends, host, serve, Host, RequestOutcome};
 use load_balancer::{Config, Outcome, RequestId};
@@ -7,7 +8,8 @@
 #[test]
 fn load_is_shed_only_while_responses_are_slow() {
     let mut host = host(Config { proxy_count: 300, ..Config::example() }, backends(60));
-    let rejected = |host: &mut Host, duration_us: u64| {
+    // Serves 60 requests, each after `duration_us`, and counts those that are rejected.
+    let count_rejected = |host: &mut Host, duration_us: u64| {
         let ids: Vec<RequestId> = (0..60)
             .map(|_| {
                 let id = host.arrive(0, 900_000);
@@ -18,13 +20,17 @@
             .collect();
         ids.into_iter().filter(|id| host.outcome_of(*id) == Some(RequestOutcome::Rejected)).count()
     };
-    assert_eq!(rejected(&mut host, 100_000), 0, "requests were rejected while responses are prompt");
-    assert!(rejected(&mut host, 450_000) > 20, "too few requests were rejected while responses are slow");
+    assert_eq!(count_rejected(&mut host, 100_000), 0, "requests were rejected while responses are prompt");
+    assert!(
+        count_rejected(&mut host, 450_000) > 20,
+        "too few requests were rejected while responses are slow"
+    );
+    // Some requests must be admitted all the time: only their responses raise the admitted fraction.
     for _ in 0..6 {
-        assert!(rejected(&mut host, 100_000) < 60);
+        assert!(count_rejected(&mut host, 100_000) < 60);
     }
     assert!(
-        rejected(&mut host, 100_000) <= 10,
+        count_rejected(&mut host, 100_000) <= 10,
         "too many requests were rejected after responses became prompt again"
     );
 }
@@ -46,7 +52,8 @@
     assert_eq!(sent, 100, "load was shed although responses take less than half of the objective");
 }
 
-/// Guards against slow responses that are counted only on arrival, long after the latency objective.
+/// Guards against slow attempts that are counted only when their responses arrive, long after the latency
+/// objective.
 #[test]
 fn an_attempt_counts_as_slow_before_its_response_arrives() {
     let mut host = host(Config { proxy_count: 300, ..Config::example() }, backends(600));
@@ -57,5 +64,5 @@
         let id = host.arrive(0, 20_000_000);
         rejected += usize::from(host.outcome_of(id) == Some(RequestOutcome::Rejected));
     }
-    assert!(rejected >= 8, "only {rejected} of 30 requests were rejected");
+    assert!(rejected >= 8, "only {rejected} of 30 requests were rejected while no attempt ends");
 }
--- a/tests/balancer/config_validation.rs
+++ b/tests/balancer/config_validation.rs
@@ -2,7 +2,7 @@
 
 use load_balancer::{Balancer, Config, Micros, Tenant};
 
-/// Guards against a balancer that starts with an out-of-range value.
+/// Guards against a balancer that starts with an out-of-range value, and errors that name another field.
 #[test]
 fn an_out_of_range_field_is_named_by_the_error() {
     let error_field = |change: fn(&mut Config)| {
--- a/tests/balancer/deadlines.rs
+++ b/tests/balancer/deadlines.rs
@@ -29,20 +29,20 @@
     let mut host =
         host(Config { proxy_count: 1, ..config_of(vec![class(Idempotency::NonIdempotent)]) }, backends(2));
     serve(&mut host, 60, 0, |_| 10_000);
-    let stuck = host.burst(3, 0, 5_000_000);
+    let lost = host.burst(3, 0, 5_000_000);
     serve(&mut host, 60, 0, |_| 10_000);
-    for id in stuck {
+    for id in lost {
         let request = &host.requests[&id];
         assert_eq!(
             request.outcome,
             Some(RequestOutcome::Failed),
-            "the request is not given up although a late response has no weight"
+            "the request was not given up although a late response has no weight"
         );
         assert_eq!(request.attempts[0].outcome, Some(Outcome::Cancelled));
     }
     let requests = host.burst(40, 0, 900_000);
     let dispatched = requests.iter().filter(|id| !host.dispatched_to(**id).is_empty()).count();
-    assert!(dispatched >= 8, "only {dispatched} dispatched to two otherwise idle backends");
+    assert!(dispatched >= 8, "only {dispatched} of 40 requests were dispatched to two idle backends");
 }
 
 /// Guards against an attempt that is given up because its backend became slower.
@@ -56,7 +56,7 @@
     assert_eq!(
         host.outcome_of(slow),
         None,
-        "the request ended while its backend is ten times slower than usual"
+        "the request ended although its backend is only ten times slower than usual"
     );
     host.end_attempt(slow, 0, Outcome::Success);
     assert_eq!(host.outcome_of(slow), Some(RequestOutcome::Served));
--- a/tests/balancer/fleet.rs
+++ b/tests/balancer/fleet.rs
@@ -11,7 +11,7 @@
     fleet_of(&Config { proxy_count: proxies, ..Config::example() }, backends)
 }
 
-/// The hosts of a fleet with this configuration, apart from the proxy index, and this endpoint list.
+/// The hosts of a fleet with this configuration, each with its own proxy index, and this endpoint list.
 fn fleet_of(config: &Config, backends: &[Backend]) -> Vec<Host> {
     let start = |proxy_index| {
         let config = Config { proxy_index, ..config.clone() };
@@ -29,11 +29,13 @@
     requests: usize,
 }
 
-/// The use of each backend while each proxy serves this number of requests.
-fn backend_uses<'a>(hosts: impl Iterator<Item = &'a mut Host>, count: usize) -> BTreeMap<u32, BackendUse> {
+/// The use of each backend while each proxy serves this number of requests. Unused backends are absent.
+fn backend_uses<'a>(
+    hosts: impl Iterator<Item = &'a mut Host>, requests_per_proxy: usize,
+) -> BTreeMap<u32, BackendUse> {
     let mut uses: BTreeMap<u32, BackendUse> = BTreeMap::new();
     for host in hosts {
-        let chosen = serve(host, count, 0, |_| 20_000);
+        let chosen = serve(host, requests_per_proxy, 0, |_| 20_000);
         for backend in &chosen {
             uses.entry(*backend).or_default().requests += 1;
         }
@@ -50,17 +52,23 @@
     let backends: Vec<Backend> = (0..60).map(|id| backend(id, id % 3, id % 2)).collect();
     let mut hosts = fleet(100, &backends);
     let all = backend_uses(hosts.iter_mut(), 60);
-    assert_eq!(all.len(), 60, "some backend is not used");
+    assert_eq!(all.len(), 60, "a backend is not used");
     let connections: usize = all.values().map(|used| used.proxies).sum();
-    assert!(connections <= 60 * 13, "{connections} connections to 60 backends");
+    assert!(connections <= 60 * 13, "{connections} connections to 60 backends, expected at most 13 to each");
     for (backend, BackendUse { proxies, requests }) in &all {
-        assert!((5..=14).contains(proxies), "{proxies} proxies use backend {backend}");
-        assert!((55..=150).contains(requests), "backend {backend} gets {requests} of 6000 requests");
+        assert!((5..=14).contains(proxies), "{proxies} proxies use backend {backend}, expected 5 to 14");
+        assert!(
+            (55..=150).contains(requests),
+            "backend {backend} gets {requests} of 6000 requests, expected 55 to 150"
+        );
     }
-    // Three in ten proxies remain after a release: each backend must be used, but not by all of them.
+    // While only 30 proxies with consecutive indices run, each backend must still be used, but not by all.
     let remaining = backend_uses(hosts.iter_mut().skip(35).take(30), 60);
-    assert_eq!(remaining.len(), 60, "some backend is used by no remaining proxy");
-    assert!(remaining.values().all(|used| used.proxies <= 8), "{remaining:?}");
+    assert_eq!(remaining.len(), 60, "a backend is used by no remaining proxy");
+    assert!(
+        remaining.values().all(|used| used.proxies <= 8),
+        "a backend is used by more than 8 of 30 proxies: {remaining:?}"
+    );
 }
 
 /// Number of proxies of a fleet that resubscribe in each 100 ms after all lost their subscriptions.
@@ -77,7 +85,7 @@
         });
         let resubscribed = calls.iter_mut().find(|_| {
             host.advance(100_000);
-            host.resubscriptions > 1
+            host.resubscriptions > 1 // the first is the subscription at the start
         });
         *resubscribed.expect("the proxy did not resubscribe within 6 s") += 1;
     }
@@ -88,15 +96,22 @@
 #[test]
 fn only_a_large_fleet_spreads_its_resubscriptions_over_seconds() {
     let many = resubscriptions(100);
-    assert!(many.iter().all(|calls| *calls <= 8), "{many:?}");
-    assert!(many[..20].iter().sum::<u32>() >= 20, "too few resubscribed within 2 s: {many:?}");
+    assert!(many.iter().all(|calls| *calls <= 8), "more than 8 resubscribed within 100 ms: {many:?}");
+    assert!(many[..20].iter().sum::<u32>() >= 20, "fewer than 20 resubscribed within 2 s: {many:?}");
     let few = resubscriptions(3);
-    assert_eq!(few[..2].iter().sum::<u32>(), 3, "{few:?}");
-    // A proxy counts as notified 6 s after discovery is reachable; half of that is for the queue and
-    // the response.
-    let fleet = resubscriptions(470);
-    assert_eq!(fleet[..30].iter().sum::<u32>(), 470, "{fleet:?}");
-    assert!(fleet.iter().all(|calls| *calls <= 32), "{fleet:?}");
+    assert_eq!(
+        few[..2].iter().sum::<u32>(),
+        3,
+        "not all of a small fleet resubscribed within 200 ms: {few:?}"
+    );
+    // A proxy counts as notified 6 s after discovery is reachable. Half of that remains for the queue at
+    // discovery and its response.
+    let hundreds = resubscriptions(470);
+    assert_eq!(hundreds[..30].iter().sum::<u32>(), 470, "not all resubscribed within 3 s: {hundreds:?}");
+    assert!(
+        hundreds.iter().all(|calls| *calls <= 32),
+        "more than 32 resubscribed within 100 ms: {hundreds:?}"
+    );
 }
 
 /// Guards against subsetting in a small fleet.
@@ -105,7 +120,7 @@
     let backends: Vec<Backend> = (0..9).map(|id| backend(id, 0, id % 2)).collect();
     let all = backend_uses(fleet(3, &backends).iter_mut(), 200);
     assert_eq!(all.len(), 9);
-    assert!(all.values().all(|used| used.proxies == 3), "{all:?}");
+    assert!(all.values().all(|used| used.proxies == 3), "a backend is not used by all proxies: {all:?}");
 }
 
 /// Guards against requests that fail because all backends of a proxy's subset are ejected.
@@ -113,7 +128,7 @@
 fn other_backends_of_a_kind_serve_if_the_subset_is_ejected() {
     let mut host = fleet(200, &backends(40)).swap_remove(7);
     let subset: BTreeSet<u32> = serve(&mut host, 60, 0, |_| 20_000).into_iter().collect();
-    assert!(subset.len() <= 5, "{subset:?}");
+    assert!(subset.len() <= 5, "the subset has more than 5 of 40 backends: {subset:?}");
     for _ in 0..40 {
         let id = host.arrive(0, 900_000);
         host.end_all(
@@ -130,15 +145,15 @@
 /// Guards against one slow backend that makes proxies stop using its whole kind.
 #[test]
 fn one_slow_backend_does_not_take_traffic_from_its_kind() {
-    // The split of a single proxy varies randomly, from a fifth to four fifths, so the fleet's sum is
-    // checked.
+    // A single proxy sends a random part, from a fifth to four fifths, to each kind. The sum over the fleet
+    // varies less.
     let backends: Vec<Backend> = (0..12).map(|id| backend(id, 0, id % 2)).collect();
     let (mut to_slow_kind, mut all) = (0, 0);
     for mut host in fleet(40, &backends) {
         let chosen = serve(&mut host, 400, 0, |id| if id == 1 { 380_000 } else { 30_000 });
-        let late = chosen.iter().skip(200);
-        to_slow_kind += late.clone().filter(|id| **id % 2 == 1).count();
-        all += late.count();
+        let second_half = chosen.iter().skip(200);
+        to_slow_kind += second_half.clone().filter(|id| **id % 2 == 1).count();
+        all += second_half.count();
     }
     assert!(
         to_slow_kind * 10 >= all * 3,
@@ -169,8 +184,11 @@
         host.serve_all(20_000);
     }
     let all = backend_uses(hosts.iter_mut(), 40);
-    assert_eq!(all.len(), 40, "some backend of the new kind is not used");
-    assert!(all.values().all(|used| used.proxies <= 14), "{all:?}");
+    assert_eq!(all.len(), 40, "a backend of the new kind is not used");
+    assert!(
+        all.values().all(|used| used.proxies <= 14),
+        "a backend is used by more than 14 of 100 proxies: {all:?}"
+    );
 }
 
 /// Guards against uneven shares in a fleet of more proxies than backends.
@@ -181,31 +199,35 @@
         let mean = proxies as usize * 20 / 60;
         for (backend, used) in &all {
             let BackendUse { proxies: users, requests } = used;
-            assert!(*users <= proxies as usize / 10, "{users} of {proxies} proxies use backend {backend}");
+            assert!(
+                *users <= proxies as usize / 10,
+                "{users} of {proxies} proxies use backend {backend}, expected at most a tenth"
+            );
             assert!(
                 (mean / 2..=mean * 3 / 2).contains(requests),
-                "backend {backend} gets {requests} requests, {mean} on average"
+                "backend {backend} gets {requests} requests, the mean is {mean}"
             );
         }
-        assert_eq!(all.len(), 60, "some backend is not used");
+        assert_eq!(all.len(), 60, "a backend is not used");
     }
 }
 
-/// Random arrivals at a fleet. Each request is answered after one step.
+/// Random arrivals at a fleet. Each request is served after one step.
 struct Load {
     requests_per_second: f64,
     step_us: u64,
     steps: u32,
 }
 
-/// The times in µs at which attempts went to one backend under this load, sorted.
+/// The times in µs at which attempts were sent to one backend under this load, sorted.
 fn times_sent_to(backend: u64, hosts: &mut [Host], load: &Load) -> Vec<u64> {
     let mut random = Pcg32::seed_from_u64(hosts.len() as u64);
-    let mean = load.requests_per_second * load.step_us as f64 / 1e6 / hosts.len() as f64;
+    let mean_per_step = load.requests_per_second * load.step_us as f64 / 1e6 / hosts.len() as f64;
     let mut times = Vec::new();
     for host in hosts {
         for _ in 0..load.steps {
-            let count = mean + f64::from(random.next_u32()) / f64::from(u32::MAX);
+            // Rounded down after adding a random number from 0 to 1, which keeps the mean.
+            let count = mean_per_step + f64::from(random.next_u32()) / f64::from(u32::MAX);
             host.burst(count as usize, 0, 400_000);
             host.serve_all(load.step_us);
             let ended = host.requests.values().filter(|request| request.outcome.is_some());
@@ -226,7 +248,7 @@
 #[test]
 fn no_fleet_size_overloads_a_warming_backend() {
     // 60 backends that serve 50 requests per second each receive 2,000 per second in total, and 4,000 per
-    // second after one of them restarts.
+    // second, more than they can serve, after backend 7 has restarted.
     for proxies in [12, 100, 400, 1000] {
         let backends: Vec<Backend> = (0..60).map(|id| backend(id, 0, id % 3)).collect();
         let config = Config {
@@ -244,14 +266,20 @@
         }
         let overload = Load { requests_per_second: 4_000.0, step_us: 80_000, steps: 40 };
         let sent = times_sent_to(7, &mut hosts, &overload);
-        assert!(sent.len() >= 10, "{proxies} proxies sent it {} requests in 3.2 s", sent.len());
+        assert!(
+            sent.len() >= 10,
+            "{proxies} proxies sent the warming backend only {} requests in 3.2 s",
+            sent.len()
+        );
         for from in &sent {
             let count = sent.iter().filter(|at| (*from..from + 2_000_000).contains(*at)).count();
+            // Overload multiple x capacity in the middle of the window x length of the window. The slow start
+            // lasts 10 s.
             let warm_fraction = 0.1 + 0.9 * (from - start.0 + 1_000_000) as f64 / 10e6;
             let limit = 2.0 * warm_fraction * 50.0 * 2.0;
             assert!(
                 count as f64 <= limit,
-                "{proxies} proxies sent it {count} requests in 2 s, limit {limit}"
+                "{proxies} proxies sent the warming backend {count} requests in 2 s, limit {limit}"
             );
         }
     }
--- a/tests/balancer/fleet_growth.rs
+++ b/tests/balancer/fleet_growth.rs
@@ -1,5 +1,6 @@
 //! Growth of a proxy's connections with the fleet: three times the proxies and sixteen times the backends, at
-//! the same traffic per proxy. Simulates balancers with a connection pool like the proxy's.
+//! the same traffic per proxy. Simulates balancers with a connection pool that reuses connections and closes
+//! idle ones as the proxy does.
 
 use crate::support::{backend, Host};
 use load_balancer::{Backend, BackendState, Config, EndpointListUpdate, Micros, Outcome, RequestId};
@@ -42,7 +43,8 @@
 }
 
 impl Pool {
-    /// Sends a request on the most recently used free connection, or on a new one if none is free.
+    /// Closes the connections that have reached the idle timeout. Then sends a request on the most recently
+    /// used free connection, or on a new one if none is free.
     fn send(&mut self, backend: u32, now: u64, end: u64) {
         for connections in self.connections.values_mut() {
             connections.retain(|last_end| now.saturating_sub(*last_end) < IDLE_TIMEOUT_US);
@@ -77,7 +79,8 @@
     host.update_endpoints(EndpointListUpdate::Delta, delta);
 }
 
-/// The id of a backend. Ids are scattered, so that their order differs from the order of starts.
+/// The id of a backend. A multiplicative hash of its number, so that the order of ids differs from the order
+/// of starts.
 fn id_of(number: u32) -> u32 {
     number.wrapping_mul(2_654_435_761)
 }
@@ -108,10 +111,11 @@
     let (mut pool, mut in_flight) = (Pool::default(), Vec::new());
     let mut random = Pcg32::seed_from_u64(u64::from(proxy_index));
     let (start, mut replaced) = (host.now, 0);
-    let begin = start + Micros(5_000_000);
-    while host.now < begin + Micros(RELEASE_US) {
-        let step = ((host.now - begin).0 * u64::from(steps) / RELEASE_US) as u32;
-        let due = if host.now < begin { 0 } else { size.backends / 2 * (step + 1) / steps };
+    // The traffic of 5 s before the release opens the usual connections.
+    let release_start = start + Micros(5_000_000);
+    while host.now < release_start + Micros(RELEASE_US) {
+        let step = ((host.now - release_start).0 * u64::from(steps) / RELEASE_US) as u32;
+        let due = if host.now < release_start { 0 } else { size.backends / 2 * (step + 1) / steps };
         if due > replaced {
             replace(&mut host, &mut pool, size, replaced..due);
             replaced = due;
@@ -154,8 +158,14 @@
     for steps in [10, 90] {
         let (usual, large) = (mean_use(USUAL, steps), mean_use(LARGE, steps));
         println!("{steps} steps: {usual:?} at the usual size, {large:?} at the large one");
-        // The operators allow 40 more connections, for those that are not simulated here.
-        assert!(large.opened <= 2.5 * usual.opened, "{steps} steps: {large:?}, usual {usual:?}");
-        assert!(large.most_open <= 2.0 * usual.most_open + 40.0, "{steps} steps: {large:?}, usual {usual:?}");
+        assert!(
+            large.opened <= 2.5 * usual.opened,
+            "too many connections opened in {steps} steps: {large:?}, usual {usual:?}"
+        );
+        // The operators allow 40 more connections, for uses that are not simulated here.
+        assert!(
+            large.most_open <= 2.0 * usual.most_open + 40.0,
+            "too many connections open at once in {steps} steps: {large:?}, usual {usual:?}"
+        );
     }
 }
--- a/tests/balancer/fleet_slow_start.rs
+++ b/tests/balancer/fleet_slow_start.rs
@@ -1,7 +1,7 @@
 //! The work that all proxies of a fleet together send to warming backends, compared with the platform's
-//! limit: N + 2 x sqrt(N) + 2 in an overload window, where N follows from the configuration and the rest
-//! allows for random variation. The balancers do not communicate. Each attempt takes as long as on an
-//! unloaded warm backend.
+//! limit: N + 2 x sqrt(N) + 2 requests of mean work in an overload window. N is the overload multiple times
+//! the work that the backend can do in the window; the rest allows for random variation. The balancers do
+//! not communicate. Each attempt takes as long as on an unloaded warm backend.
 
 use crate::support::{backend, AttemptId, Host};
 use load_balancer::{Backend, Config, EndpointListUpdate, Micros, Outcome, Time};
@@ -14,7 +14,7 @@
 const BACKENDS: u32 = 60;
 /// Steps before the start of the warming backends.
 const STEPS_BEFORE: u64 = 160;
-/// Steps after it.
+/// Steps after the start of the warming backends.
 const STEPS_AFTER: u64 = 240;
 
 /// A fleet, its load and the events of a run.
@@ -23,11 +23,11 @@
     proxies: u32,
     /// Arrival rate, as a fraction of the service rate of all backends when warm.
     load: f64,
-    /// This many of every ten backends start at once.
+    /// Of every ten backends, this many start at once and are then warming.
     started_tenths: u64,
     /// Whether the proxies restart at the same time, and so know neither rates nor latencies.
     proxies_restart: bool,
-    /// Whether a tenth of the backends, which are warm, refuses all connections from then on.
+    /// Whether a tenth of the backends, which are warm, refuse all connections from then on.
     connections_refused: bool,
     seed: u64,
 }
@@ -41,13 +41,13 @@
         self.connections_refused && step >= STEPS_BEFORE && backend % 10 == 9
     }
 
-    /// Mean number of requests of a proxy in one step. Every eighth proxy gets four times as many as the
-    /// others.
+    /// Mean number of requests that arrive at a proxy in one step. Every eighth proxy gets four times as many
+    /// as the others.
     fn mean_arrivals(&self, proxy_index: u32) -> f64 {
         let weight = |index: u32| if index % 8 == 1 { 4.0 } else { 1.0 };
         let all: f64 = (0..self.proxies).map(weight).sum();
-        let per_service = self.load * f64::from(BACKENDS) * weight(proxy_index) / all;
-        per_service * STEP_US as f64 / SERVICE_US as f64
+        let per_service_time = self.load * f64::from(BACKENDS) * weight(proxy_index) / all;
+        per_service_time * STEP_US as f64 / SERVICE_US as f64
     }
 }
 
@@ -99,7 +99,7 @@
         ScenarioProxy { scenario, proxy_index, seed, backends, host }
     }
 
-    /// Runs the scenario and adds the work that the proxy sends.
+    /// Runs the scenario and adds the work that the proxy sends to `sent`.
     fn run(&mut self, sent: &mut SentWork) {
         let mut random = Pcg32::seed_from_u64(self.seed);
         let mean = self.scenario.mean_arrivals(self.proxy_index);
@@ -148,7 +148,8 @@
         }
     }
 
-    /// Adds the attempts sent since `start` by the requests that have ended, or by all requests.
+    /// Adds the work of the attempts dispatched from `start` on. Each request is counted once: when it has
+    /// ended, or if `all_requests` is set.
     fn add_sent_work(&self, start: Time, all_requests: bool, sent: &mut SentWork) {
         let end = start + Micros(STEPS_AFTER * STEP_US);
         let ended = self.host.requests.values().filter(|request| all_requests || request.outcome.is_some());
@@ -163,49 +164,51 @@
     }
 }
 
-/// The overload windows of warming backends, compared with the limit.
+/// The overload windows of all warming backends, compared with the limit.
 #[derive(Clone, Copy, Default)]
-struct Worst {
+struct WindowStats {
     /// Maximum work in a window, as a fraction of the limit.
     ratio: f64,
     /// Number of windows over the limit.
     windows_over: usize,
 }
 
-impl Worst {
-    fn merge(self, other: Worst) -> Worst {
+impl WindowStats {
+    fn merge(self, other: WindowStats) -> WindowStats {
         let windows_over = self.windows_over + other.windows_over;
-        Worst { ratio: f64::max(self.ratio, other.ratio), windows_over }
+        WindowStats { ratio: f64::max(self.ratio, other.ratio), windows_over }
     }
 }
 
-/// The limit in the window that ends with a step, from the backend's capacity at the end of the window.
+/// The limit in the window that ends with a step, in requests of mean work, from the backend's capacity at
+/// the end of the window.
 fn limit(config: &Config, end_step: usize) -> f64 {
-    let age = end_step as f64 * STEP_US as f64 / config.slow_start_duration.0 as f64;
+    let progress = end_step as f64 * STEP_US as f64 / config.slow_start_duration.0 as f64;
     let warm_fraction =
-        config.slow_start_initial_fraction + (1.0 - config.slow_start_initial_fraction) * age.min(1.0);
+        config.slow_start_initial_fraction + (1.0 - config.slow_start_initial_fraction) * progress.min(1.0);
     let allowed =
         config.overload_multiple * warm_fraction * config.overload_window.0 as f64 / SERVICE_US as f64;
     allowed + 2.0 * allowed.sqrt() + 2.0
 }
 
-fn worst(scenario: &Scenario) -> Worst {
+/// Runs all proxies of the scenario and compares every overload window with the limit.
+fn run_scenario(scenario: &Scenario) -> WindowStats {
     let config = config(scenario.proxies);
     let mut sent: SentWork = vec![vec![0.0; STEPS_AFTER as usize]; BACKENDS as usize];
     for proxy_index in 0..scenario.proxies {
         ScenarioProxy::start(scenario, proxy_index).run(&mut sent);
     }
     let window = (config.overload_window.0 / STEP_US) as usize;
-    let mut worst = Worst::default();
+    let mut stats = WindowStats::default();
     let warming = sent.iter().enumerate().filter(|(backend, _)| scenario.is_started(*backend as u64));
     for (_, steps) in warming {
         for end in 1..=steps.len() {
             let sum: f64 = steps[end.saturating_sub(window)..end].iter().sum();
             let ratio = sum / limit(&config, end);
-            worst = worst.merge(Worst { ratio, windows_over: usize::from(ratio > 1.0) });
+            stats = stats.merge(WindowStats { ratio, windows_over: usize::from(ratio > 1.0) });
         }
     }
-    worst
+    stats
 }
 
 fn scenarios(proxies: &[u32], loads: &[f64]) -> Vec<Scenario> {
@@ -229,17 +232,17 @@
     scenarios
 }
 
-/// Runs every fleet size and load with `seeds` seeds. Prints the maximum ratio of each scenario and returns
-/// that of all.
-fn worst_of_all(proxies: &[u32], loads: &[f64], seeds: u64) -> f64 {
+/// Runs the scenarios of every fleet size and load with `seeds` seeds each. Prints the maximum ratio of each
+/// scenario and returns the maximum of all.
+fn max_ratio(proxies: &[u32], loads: &[f64], seeds: u64) -> f64 {
     let scenarios = scenarios(proxies, loads);
     let run = |scenario: &Scenario| {
-        let worst_of_seeds = (1..=seeds).map(|seed| worst(&Scenario { seed, ..*scenario }));
-        worst_of_seeds.fold(Worst::default(), Worst::merge)
+        let stats_of_seeds = (1..=seeds).map(|seed| run_scenario(&Scenario { seed, ..*scenario }));
+        stats_of_seeds.fold(WindowStats::default(), WindowStats::merge)
     };
     let threads = std::thread::available_parallelism().map_or(2, |count| count.get().min(4));
-    let mut results: Vec<(Scenario, Worst)> = std::thread::scope(|scope| {
-        let run_part = |thread: usize| -> Vec<(Scenario, Worst)> {
+    let mut results: Vec<(Scenario, WindowStats)> = std::thread::scope(|scope| {
+        let run_part = |thread: usize| -> Vec<(Scenario, WindowStats)> {
             let part = scenarios.iter().skip(thread).step_by(threads);
             part.map(|scenario| (*scenario, run(scenario))).collect()
         };
@@ -247,7 +250,7 @@
         spawned.into_iter().flat_map(|thread| thread.join().expect("a scenario thread panicked")).collect()
     });
     results.sort_by(|a, b| b.1.ratio.total_cmp(&a.1.ratio));
-    for (scenario, Worst { ratio, windows_over }) in &results {
+    for (scenario, WindowStats { ratio, windows_over }) in &results {
         println!("{ratio:.2} of the limit, {windows_over} windows over it, {seeds} seeds: {scenario:?}");
     }
     results[0].1.ratio
@@ -258,6 +261,6 @@
 #[test]
 fn no_fleet_overloads_a_warming_backend() {
     let seeds = std::env::var("FALL_SEEDS").ok().and_then(|seeds| seeds.parse().ok()).unwrap_or(1);
-    let worst = worst_of_all(&[3, 8, 20, 30, 300, 470], &[0.6, 0.9, 1.3], seeds);
-    assert!(worst <= 1.0, "a window reached {worst:.2} of the limit");
+    let worst = max_ratio(&[3, 8, 20, 30, 300, 470], &[0.6, 0.9, 1.3], seeds);
+    assert!(worst <= 1.0, "the work sent in a window reached {worst:.2} of the limit");
 }
--- a/tests/balancer/halb.rs
+++ b/tests/balancer/halb.rs
@@ -1,8 +1,9 @@
-//! HALB shares, compared with values computed by hand from the paper's formula.
+//! HALB shares, compared with values computed by hand from the paper's formula. R and S are the sums in the
+//! documentation of [`load_balancer::halb_shares`].
 
 use load_balancer::KindCapacity;
 
-/// The shares of kinds, each given as its number of backends and their service rate.
+/// The shares of kinds, each given as its number of backends and the service rate of one.
 fn halb_shares(kinds: &[(f64, f64)], arrival_rate: Option<f64>) -> Vec<f64> {
     let capacity = |&(backends, service_rate): &(f64, f64)| KindCapacity { backends, service_rate };
     let kinds: Vec<KindCapacity> = kinds.iter().map(capacity).collect();
@@ -19,7 +20,7 @@
 const TWO_KINDS: [(f64, f64); 2] = [(1.0, 4.0), (1.0, 1.0)];
 
 #[test]
-fn both_kinds_get_traffic_above_the_clamp() {
+fn both_kinds_get_traffic_at_moderate_load() {
     // R = 3, S = 5: rates 4 - 2 * 1.5 / 3 = 3 and 1 - 1.5 / 3 = 0.5.
     assert_close(halb_shares(&TWO_KINDS, Some(3.5)), &[6.0 / 7.0, 1.0 / 7.0]);
 }
@@ -47,7 +48,7 @@
 }
 
 #[test]
-fn all_traffic_is_divided_over_capacity() {
+fn traffic_above_capacity_is_divided_in_full() {
     // (5 - 8) / 3 = -1: rates 4 + 2 and 1 + 1.
     assert_close(halb_shares(&TWO_KINDS, Some(8.0)), &[0.75, 0.25]);
 }
--- a/tests/balancer/invariants.rs
+++ b/tests/balancer/invariants.rs
@@ -8,13 +8,15 @@
 use proptest::prelude::*;
 use proptest::test_runner::{RngAlgorithm, TestRng, TestRunner};
 
-/// One step of a generated sequence. A single index selects one of the attempts in flight or unanswered
-/// requests.
+/// A step of a sequence. The first field of `End` and `Stream` selects, modulo their number, one of the
+/// attempts in flight; that of `Disconnect` selects one of the pending requests.
 #[derive(Clone, Debug)]
 enum Step {
     /// Class, time left in µs, and tenant of a request.
     Arrive(usize, u64, Option<usize>),
+    /// An attempt ends.
     End(usize, Outcome),
+    /// The response to an attempt starts to be streamed.
     Stream(usize),
     Disconnect(usize),
     /// Time to pass, in µs.
@@ -113,9 +115,9 @@
                 }
             }
             Step::Disconnect(n) => {
-                let unanswered = host.requests.iter().filter(|(_, request)| request.outcome.is_none());
-                let unanswered: Vec<RequestId> = unanswered.map(|(id, _)| *id).collect();
-                if let Some(id) = nth(&unanswered, n) {
+                let pending = host.requests.iter().filter(|(_, request)| request.outcome.is_none());
+                let pending: Vec<RequestId> = pending.map(|(id, _)| *id).collect();
+                if let Some(id) = nth(&pending, n) {
                     host.disconnect(id);
                 }
             }
@@ -133,12 +135,12 @@
             Step::List(mask, update) => host.update_endpoints(update, backends_in(mask)),
             Step::UnknownEvents(request, attempt, token) => {
                 let request = RequestId(1_000_000 + request);
-                host.handle_unknown(request, AttemptNumber(attempt), TimerToken(token));
+                host.handle_unknown_ids(request, AttemptNumber(attempt), TimerToken(token));
             }
         }
         trace.push(format!("{:?}", host.last_actions));
     }
-    host.advance(3_000_000);
+    host.advance(3_000_000); // past every deadline
     let is_answered = |request: &TrackedRequest| request.outcome.is_some() || request.is_streaming;
     assert!(host.requests.values().all(is_answered), "a request has no final response");
     trace
--- a/tests/balancer/outlier_detection.rs
+++ b/tests/balancer/outlier_detection.rs
@@ -47,6 +47,7 @@
 fn a_backend_that_mostly_fails_is_ejected_for_ever_longer_times() {
     let mut host = host(config_of(vec![class(Idempotency::NonIdempotent)]), backends(6));
     serve(&mut host, 60, 0, |_| 10_000);
+    // Backend 3 answers two of three requests with an error.
     let (mut sent, mut errors) = (0, 0);
     for _ in 0..3_000 {
         let id = host.arrive(0, 900_000);
@@ -57,7 +58,7 @@
         host.advance(10_000);
         host.end_attempt(id, 0, if fails { Outcome::ErrorResponse } else { Outcome::Success });
     }
-    assert!((10..=26).contains(&errors), "{errors} errors in 30 s");
+    assert!((10..=26).contains(&errors), "{errors} errors in 30 s, expected 10 to 26");
 }
 
 /// Guards against an ejection for one refused connection, and against constant reconnects to a backend that
@@ -74,8 +75,11 @@
         "the retry went to the same backend, or there was none"
     );
     host.end_attempt(id, 1, Outcome::Success);
-    // Takes less time than the shortest ejection.
-    assert!(serve(&mut host, 120, 0, |_| 5_000).contains(&first), "ejected for one refused connection");
+    // These requests take less time than the shortest ejection.
+    assert!(
+        serve(&mut host, 120, 0, |_| 5_000).contains(&first),
+        "backend {first} was ejected for one refused connection"
+    );
     let mut connects = 0;
     for _ in 0..3_000 {
         let id = host.arrive(0, 900_000);
@@ -91,7 +95,7 @@
         host.serve_all(4_000);
         assert_eq!(host.outcome_of(id), Some(RequestOutcome::Served));
     }
-    assert!((4..=12).contains(&connects), "{connects} connects in 42 s");
+    assert!((4..=12).contains(&connects), "{connects} attempts to connect in 42 s, expected 4 to 12");
 }
 
 /// Guards against the use of unreachable backends when more than half of the fleet is ejected.
@@ -100,6 +104,7 @@
     let mut host = host(config_of(vec![class(Idempotency::NonIdempotent)]), backends(6));
     serve(&mut host, 60, 0, |_| 10_000);
     let (mut connects, mut used_later) = (0, BTreeSet::new());
+    // Backends 0 and 1 are unreachable, 2 and 3 respond with errors, 4 and 5 serve.
     for step in 0..600 {
         host.arrive(0, 900_000);
         host.advance(10_000);
@@ -113,7 +118,7 @@
             outcome
         });
     }
-    assert!(connects <= 20, "{connects} connects to two unreachable backends in 6 s");
+    assert!(connects <= 20, "{connects} attempts to connect to two unreachable backends in 6 s");
     assert!(
         used_later.contains(&2) && used_later.contains(&3),
         "the reachable ejected backends are not used: {used_later:?}"
@@ -124,7 +129,7 @@
         host.advance(10_000);
         host.end_all(|_| Outcome::ConnectFailed);
     }
-    assert!(!serve(&mut host, 5, 0, |_| 5_000).is_empty(), "no backend is used");
+    assert!(!serve(&mut host, 5, 0, |_| 5_000).is_empty(), "no backend is used when all are unreachable");
 }
 
 /// Guards against the ejection of backends that fail as often as all others.
@@ -132,29 +137,30 @@
 fn only_a_backend_that_fails_far_more_than_others_is_ejected() {
     let mut host = host(config_of(vec![class(Idempotency::NonIdempotent)]), backends(9));
     let mut random = Pcg32::seed_from_u64(11);
-    // Sends requests for 500 ms, with a failure rate for backend 3, and counts the requests of each backend.
-    let mut run = |host: &mut Host, failure_rate: f64| {
-        let mut used = [0; 9];
+    // Sends requests for 500 ms and counts those of each backend. Backend 3 has this failure rate, the others
+    // fail 7 % of their requests.
+    let mut requests_by_backend = |host: &mut Host, failure_rate: f64| {
+        let mut counts = [0; 9];
         for _ in 0..50 {
             let id = host.arrive(0, 900_000);
             let backend = host.dispatched_to(id)[0] as usize;
-            used[backend] += 1;
+            counts[backend] += 1;
             host.advance(10_000);
             let failure_rate = if backend == 3 { failure_rate } else { 0.07 };
             let fails = f64::from(random.next_u32()) < failure_rate * f64::from(u32::MAX);
             host.end_attempt(id, 0, if fails { Outcome::ErrorResponse } else { Outcome::Success });
         }
-        used
+        counts
     };
-    let count_unused = |used: [u32; 9]| used.iter().filter(|count| **count == 0).count();
-    let unused: usize = (0..60).map(|_| count_unused(run(&mut host, 0.07))).sum();
-    assert!(unused <= 30, "a backend was not used in {unused} of 540 intervals");
-    let sent: u32 = (0..60).map(|_| run(&mut host, 0.9)[3]).sum();
+    let count_unused = |counts: [u32; 9]| counts.iter().filter(|count| **count == 0).count();
+    let unused: usize = (0..60).map(|_| count_unused(requests_by_backend(&mut host, 0.07))).sum();
+    assert!(unused <= 30, "backends were not used in {unused} of 540 intervals of 500 ms");
+    let sent: u32 = (0..60).map(|_| requests_by_backend(&mut host, 0.9)[3]).sum();
     assert!(sent <= 60, "{sent} of 3000 requests went to a backend that fails 90 % of them");
 }
 
-/// Guards against an ejection for one reset connection, and against none when all connections of a backend
-/// are reset.
+/// Guards against an ejection for one reset connection, and against no ejection when all connections of a
+/// backend are reset.
 #[test]
 fn a_dead_process_is_ejected_but_not_for_one_reset_connection() {
     let mut host = host(config_of(vec![class(Idempotency::NonIdempotent)]), backends(4));
@@ -162,8 +168,12 @@
     let id = host.arrive(0, 900_000);
     let first = host.dispatched_to(id)[0];
     host.end_attempt(id, 0, Outcome::ConnectionReset);
-    // Takes less time than the shortest ejection.
-    assert!(serve(&mut host, 120, 0, |_| 5_000).contains(&first), "ejected for one reset connection");
+    // These requests take less time than the shortest ejection.
+    assert!(
+        serve(&mut host, 120, 0, |_| 5_000).contains(&first),
+        "backend {first} was ejected for one reset connection"
+    );
+    // Sends pairs of requests until both go to the same backend, whose connections are then reset.
     let dead = loop {
         let requests: Vec<RequestId> = host.burst(2, 0, 900_000);
         let chosen: Vec<u32> = requests.iter().map(|id| host.dispatched_to(*id)[0]).collect();
@@ -177,7 +187,7 @@
     };
     assert!(
         !serve(&mut host, 40, 0, |_| 5_000).contains(&dead),
-        "not ejected although all its connections were reset"
+        "backend {dead} was used although all its connections were reset"
     );
 }
 
@@ -192,20 +202,27 @@
         // Enough requests for the retry budget to allow one retry.
         serve(&mut host, 5, 0, |_| 5_000);
         let id = host.arrive(0, 900_000);
-        assert_eq!(host.dispatched_to(id).len(), 1, "rejected by load shedding, or without a usable backend");
+        assert_eq!(host.dispatched_to(id).len(), 1, "the request was shed, or no backend was usable");
         rejecting.insert(host.dispatched_to(id)[0]);
         host.advance(5_000);
         host.end_attempt(id, 0, Outcome::Rejected);
         host.advance(5_000);
         host.end_attempt(id, 1, Outcome::Success);
-        assert_eq!(host.outcome_of(id), Some(RequestOutcome::Served), "not retried at another backend");
+        assert_eq!(
+            host.outcome_of(id),
+            Some(RequestOutcome::Served),
+            "the rejected attempt was not retried successfully"
+        );
     }
-    assert!(!host.has_ejected_any(), "{:?}", host.logs);
+    assert!(!host.has_ejected_any(), "a backend was ejected: {:?}", host.logs);
     let used_later: BTreeSet<_> = serve(&mut host, 200, 0, |_| 5_000).into_iter().collect();
-    assert!(rejecting.is_subset(&used_later), "ejected for a full connection table");
+    assert!(
+        rejecting.is_subset(&used_later),
+        "a backend with a full connection table is no longer used: {used_later:?}"
+    );
 }
 
-/// Guards against sending all load to the last backend that is not ejected.
+/// Guards against sending all load to the only backend that is not ejected.
 #[test]
 fn ejected_backends_are_used_when_most_are_ejected() {
     let mut host = host(config_of(vec![class(Idempotency::Idempotent)]), backends(4));
@@ -236,5 +253,8 @@
     host.advance(450_000);
     host.disconnect(id);
     host.advance(20_000);
-    assert!(!serve(&mut host, 30, 0, |_| 5_000).contains(&slow), "the slow backend is still used");
+    assert!(
+        !serve(&mut host, 30, 0, |_| 5_000).contains(&slow),
+        "backend {slow}, which is slow, was still used"
+    );
 }
--- a/tests/balancer/priority.rs
+++ b/tests/balancer/priority.rs
@@ -41,9 +41,9 @@
 /// Guards against overload in which requests of low weight are served before those of high weight.
 #[test]
 fn requests_of_higher_weight_are_served_first_in_overload() {
-    let heavy = Class { priority_weight: 8.0, ..class(Idempotency::Idempotent) };
+    let high_weight = Class { priority_weight: 8.0, ..class(Idempotency::Idempotent) };
     let mut host = host(
-        Config { proxy_count: 1, ..config_of(vec![class(Idempotency::Idempotent), heavy]) },
+        Config { proxy_count: 1, ..config_of(vec![class(Idempotency::Idempotent), high_weight]) },
         backends(1),
     );
     let ids: Vec<RequestId> = (0..60).map(|number| host.arrive(number % 2, 900_000)).collect();
@@ -51,10 +51,10 @@
         host.serve_all(60_000);
     }
     host.advance(900_000);
-    let served = |class: usize| {
+    let count_served = |class: usize| {
         let requests = ids.iter().copied().skip(class).step_by(2);
         requests.filter(|id| host.outcome_of(*id) == Some(RequestOutcome::Served)).count()
     };
-    let (light, heavy) = (served(0), served(1));
-    assert!(heavy > light, "{heavy} requests of weight 8 and {light} of weight 1 were served");
+    let (low, high) = (count_served(0), count_served(1));
+    assert!(high > low, "only {high} requests of weight 8 but {low} of weight 1 were served");
 }
--- a/tests/balancer/reconfiguration.rs
+++ b/tests/balancer/reconfiguration.rs
@@ -44,7 +44,7 @@
     progress_of(&host, id)
 }
 
-/// Guards against pending requests that are retried, or not retried, by the new idempotency of their class.
+/// Guards against pending requests whose retries depend on the new idempotency of their class.
 #[test]
 fn a_pending_request_keeps_the_idempotency_of_its_arrival() {
     let failed = Progress { attempts: 1, outcome: Some(RequestOutcome::Failed) };
@@ -60,7 +60,7 @@
     assert_eq!(host.outcome_of(id), Some(RequestOutcome::Failed));
 }
 
-/// Guards against requests that are handled by the limits and objectives of a later configuration.
+/// Guards against pending requests to which the limits and objectives of a later configuration apply.
 #[test]
 fn a_pending_request_keeps_the_limits_of_its_arrival() {
     for (before, after, attempts) in [(1, 3, 1), (3, 1, 3)] {
@@ -75,10 +75,10 @@
         assert_eq!(
             host.requests[&id].attempts.len(),
             attempts,
-            "max_attempts changed from {before} to {after}"
+            "wrong number of attempts after max_attempts changed from {before} to {after}"
         );
     }
-    // Queued without a backend, a request is given up by the objective on its arrival, not by a later one.
+    // The objective at its arrival decides when a request that is queued without a backend is given up.
     let mut host = host(vec![class(Idempotency::Idempotent)]);
     host.update_endpoints(EndpointListUpdate::Snapshot, Vec::new());
     let with_long_objective = host.arrive(0, 900_000);
@@ -92,7 +92,8 @@
     );
 }
 
-/// Guards against requests and attempts that outlive their class, or that use another class with its index.
+/// Guards against requests and attempts of a removed or moved class that are assigned to the class that now
+/// has its index.
 #[test]
 fn classes_with_requests_in_flight_may_be_removed_and_renumbered() {
     let slow = Class { latency_objective: Micros(800_000), ..class(Idempotency::NonIdempotent) };
@@ -113,7 +114,7 @@
     host.handle(Event::RequestArrived(unknown_class));
     assert!(
         host.last_actions.iter().all(|action| !matches!(action, Action::Dispatch { .. })),
-        "{:?}",
+        "a request of an unknown class was dispatched: {:?}",
         host.last_actions
     );
     let of_new_class = host.arrive(0, 900_000);
@@ -144,6 +145,7 @@
 /// Guards against a class that loses its mean latency, which decides when its queued requests are given up.
 #[test]
 fn the_statistics_of_a_class_follow_it_to_its_new_index() {
+    // Steps of 10 ms after which a queued request of the class is given up.
     let given_up_after = |previous_class: Option<usize>| {
         let mut host = host(vec![class(Idempotency::Idempotent), class(Idempotency::Idempotent)]);
         serve(&mut host, 60, 1, |_| 300_000);
@@ -161,7 +163,10 @@
         })
     };
     let (slow, quick, new) = (given_up_after(Some(1)), given_up_after(Some(0)), given_up_after(None));
-    assert!(slow < new && new < quick, "given up after {slow:?}, {new:?} and {quick:?} steps of 10 ms");
+    assert!(
+        slow < new && new < quick,
+        "given up after {slow:?} (slow), {new:?} (new) and {quick:?} (quick class) steps"
+    );
 }
 
 /// Guards against a reconfiguration that ends an ejection.
@@ -178,13 +183,15 @@
         }
         assert!(host.outcome_of(id).is_some());
     }
-    assert!(host.has_ejected(BackendId(2)), "{:?}", host.logs);
+    assert!(host.has_ejected(BackendId(2)), "backend 2 was not ejected: {:?}", host.logs);
     host.reconfigure(Config { cross_zone_cost: 0.1, ..host.config.clone() });
     let chosen = serve(&mut host, 20, 0, |_| 5_000);
-    assert!(chosen.iter().all(|backend| *backend != 2), "{chosen:?}");
+    assert!(chosen.iter().all(|backend| *backend != 2), "the ejected backend 2 was used: {chosen:?}");
 }
 
-/// Number of attempts sent to a warming backend while `recompute_shares` repeatedly causes a share update.
+/// Number of attempts sent to a warming backend while `recompute_shares` repeatedly causes an update of the
+/// traffic shares. It is called with the backend in another cell each time, as an unchanged entry would cause
+/// none.
 fn sent_to_warming_backend(recompute_shares: impl Fn(&mut Host, Backend)) -> usize {
     let class = Class { latency_objective: Micros(5_000_000), ..class(Idempotency::Idempotent) };
     // A low overload multiple, so that slow start limits the requests sent to the backend.
@@ -209,7 +216,7 @@
     let update = |host: &mut Host, entry| host.update_endpoints(EndpointListUpdate::Delta, vec![entry]);
     let reconfigure = |host: &mut Host, _| host.reconfigure(host.config.clone());
     let (without, with) = (sent_to_warming_backend(update), sent_to_warming_backend(reconfigure));
-    assert!((1..=15).contains(&without), "{without} requests without a reconfiguration");
+    assert!((1..=15).contains(&without), "{without} requests without a reconfiguration, expected 1 to 15");
     assert!(with <= without + 2, "{with} requests with a reconfiguration, {without} without");
 }
 
@@ -218,7 +225,8 @@
 fn a_remaining_tenant_keeps_its_bucket_and_new_ones_start_full() {
     let tenants = vec![Tenant { quota_per_second: 3.0 }, Tenant { quota_per_second: 3.0 }];
     let config = Config { proxy_count: 1, over_quota_weight: 0.0, tenants, ..Config::example() };
-    // Whether the tenant is over its quota shows in the order of dispatch.
+    // Whether the request of a tenant is dispatched before one without a tenant: not if the tenant is over
+    // its quota.
     let is_dispatched_first = |previous_tenant: Option<usize>| {
         let mut host = Host::new(config.clone(), 4);
         host.update_endpoints(EndpointListUpdate::Snapshot, vec![backend(0, 0, 0)]);
@@ -244,10 +252,15 @@
             Action::Dispatch { request, .. } => Some(*request),
             _ => None,
         });
-        assert!(first == Some(without_tenant) || first == Some(of_tenant), "{:?}", host.last_actions);
+        assert!(
+            first == Some(without_tenant) || first == Some(of_tenant),
+            "neither of the two requests was dispatched first: {:?}",
+            host.last_actions
+        );
         first == Some(of_tenant)
     };
-    // Among equals the newest request is dispatched first: that of the tenant, unless it is over its quota.
+    // At equal priority the newest request is dispatched first: that of the tenant, unless the tenant is over
+    // its quota.
     assert_eq!(
         (is_dispatched_first(Some(1)), is_dispatched_first(Some(0)), is_dispatched_first(None)),
         (false, true, true)
@@ -257,20 +270,20 @@
 /// Guards against a proxy that keeps its subset after its proxy count or index has changed.
 #[test]
 fn a_new_proxy_count_or_index_changes_the_subset() {
-    let used = |host: &mut Host| {
+    let used_backends = |host: &mut Host| {
         let chosen = serve(host, 60, 0, |_| 20_000);
         chosen.into_iter().collect::<BTreeSet<u32>>()
     };
     let mut host = Host::new(Config { proxy_count: 3, ..Config::example() }, 6);
     host.update_endpoints(EndpointListUpdate::Snapshot, backends(60));
-    assert!(used(&mut host).len() > 20);
+    assert!(used_backends(&mut host).len() > 20);
     host.reconfigure(Config { proxy_count: 100, proxy_index: 7, ..host.config.clone() });
-    let (index_7, all) = (used(&mut host), host.backends.len());
-    assert!(index_7.len() <= 12, "{index_7:?} of {all}");
+    let (index_7, all) = (used_backends(&mut host), host.backends.len());
+    assert!(index_7.len() <= 12, "the subset has more than 12 of {all} backends: {index_7:?}");
     host.reconfigure(Config { proxy_index: 8, ..host.config.clone() });
-    assert!(used(&mut host).is_disjoint(&index_7));
+    assert!(used_backends(&mut host).is_disjoint(&index_7));
     host.reconfigure(Config { proxy_count: 3, proxy_index: 0, ..host.config.clone() });
-    assert!(used(&mut host).len() > 20);
+    assert!(used_backends(&mut host).len() > 20);
 }
 
 /// Guards against load shedding that never ends after the fleet has become too small for admission control.
@@ -290,7 +303,7 @@
     }
 }
 
-/// Guards against a subscription that is renewed by the poll interval of a replaced configuration.
+/// Guards against a subscription that keeps the discovery mode or poll interval of a replaced configuration.
 #[test]
 fn a_new_discovery_mode_or_poll_interval_is_applied() {
     let slow = Config { discovery: DiscoveryMode::Subscribe(Micros(20_000_000)), ..Config::example() };
@@ -318,6 +331,10 @@
     host.reconfigure_from(Config { classes: Vec::new(), ..valid.clone() }, Vec::new(), Vec::new());
     host.config = valid;
     let no_class = ConfigError { field: "classes", expected: "at least one class" };
-    assert!(host.logs.contains(&LogEvent::ConfigRejected(no_class)), "{:?}", host.logs);
+    assert!(
+        host.logs.contains(&LogEvent::ConfigRejected(no_class)),
+        "the rejection was not logged: {:?}",
+        host.logs
+    );
     assert_eq!(serve(&mut host, 5, 0, |_| 20_000).len(), 5);
 }
--- a/tests/balancer/reconfiguration_invariants.rs
+++ b/tests/balancer/reconfiguration_invariants.rs
@@ -8,18 +8,20 @@
 use proptest::prelude::*;
 use proptest::test_runner::{RngAlgorithm, TestRng, TestRunner};
 
-/// A step of a sequence. A `usize` selects, modulo their number, one of the attempts or requests to which the
-/// step can apply.
+/// A step of a sequence. The first field of `End` selects, modulo their number, one of the attempts in
+/// flight; that of `Disconnect` selects one of the pending requests.
 #[derive(Clone, Debug)]
 enum Step {
     /// A request arrives: class index, time left in µs.
     Arrive(usize, u64),
+    /// An attempt ends.
     End(usize, Outcome),
     Disconnect(usize),
     /// Time passes, in µs.
     Advance(u64),
     Endpoint(u32, BackendState),
-    /// A new configuration: options as bits, and the names of the classes.
+    /// A new configuration: options as bits, and the classes by name. A name is a number that identifies a
+    /// class across configurations.
     Reconfigure(u32, Vec<usize>),
     /// A reconfiguration with invalid indices of previous classes.
     ReconfigureMalformed(Vec<usize>),
@@ -104,9 +106,9 @@
                 }
             }
             Step::Disconnect(n) => {
-                let unanswered = host.requests.iter().filter(|(_, request)| request.outcome.is_none());
-                let unanswered = unanswered.map(|(id, _)| *id);
-                if let Some(id) = unanswered.cycle().nth(*n).filter(|id| host.outcome_of(*id).is_none()) {
+                let pending = host.requests.iter().filter(|(_, request)| request.outcome.is_none());
+                let pending = pending.map(|(id, _)| *id);
+                if let Some(id) = pending.cycle().nth(*n).filter(|id| host.outcome_of(*id).is_none()) {
                     host.disconnect(id);
                 }
             }
@@ -117,6 +119,7 @@
             }
             Step::Reconfigure(bits, chosen) => {
                 let mut new = chosen.clone();
+                // Without duplicates, in an order that depends on the options.
                 new.sort_unstable_by_key(|name| (name * 7 + *bits as usize) % 6);
                 new.dedup();
                 let previous = |name: &usize| names.iter().position(|old| old == name).map(ClassId);
@@ -125,14 +128,17 @@
                 names = new;
             }
             Step::ReconfigureMalformed(indices) => {
-                // Duplicate indices, unknown indices, or too few of them.
+                // Indices that are duplicate, unknown or too few.
                 let previous_classes = indices.iter().map(|index| Some(ClassId(index * 3))).collect();
                 host.reconfigure_from(host.config.clone(), previous_classes, vec![Some(TenantId(9))]);
             }
         }
     }
-    host.advance(3_000_000);
-    assert!(host.requests.values().all(|request| request.outcome.is_some()), "a request was not answered");
+    host.advance(3_000_000); // past every deadline
+    assert!(
+        host.requests.values().all(|request| request.outcome.is_some()),
+        "a request has no final response"
+    );
 }
 
 /// Guards against a sequence of events and reconfigurations that violates an invariant of the balancer.
--- a/tests/balancer/retry.rs
+++ b/tests/balancer/retry.rs
@@ -10,13 +10,14 @@
     serve(&mut host, 100, 0, |_| 10_000);
     let id = host.arrive(0, 900_000);
     let unresponsive = host.dispatched_to(id)[0];
+    // Less than six times the typical latency of 10 ms, after which a backend counts as unresponsive.
     host.advance(50_000);
-    assert_eq!(host.dispatched_to(id).len(), 1, "a request is hedged merely because it takes long");
+    assert_eq!(host.dispatched_to(id).len(), 1, "a request was hedged merely because it takes long");
     host.advance(50_000);
     let chosen = serve(&mut host, 30, 0, |_| 5_000);
     assert!(!chosen.contains(&unresponsive));
     host.advance(10_000);
-    assert_eq!(host.dispatched_to(id).len(), 2, "the request at the unresponsive backend is not hedged");
+    assert_eq!(host.dispatched_to(id).len(), 2, "the request at the unresponsive backend was not hedged");
     assert_ne!(host.dispatched_to(id)[1], unresponsive);
 }
 
@@ -55,7 +56,7 @@
     let id = host.arrive(0, 900_000);
     host.end_attempt(id, 0, Outcome::ErrorResponse);
     let sent = host.dispatched_to(id);
-    assert!(sent.len() == 2 && sent[0] % 2 == sent[1] % 2, "{sent:?}");
+    assert!(sent.len() == 2 && sent[0] % 2 == sent[1] % 2, "not retried once in its zone: {sent:?}");
     let id = host.arrive(0, 900_000);
     host.advance(210_000);
     let sent = host.dispatched_to(id).len();
@@ -82,17 +83,30 @@
     let mut host = host(config_of(classes), backends(6));
     serve(&mut host, 60, 0, |_| 10_000);
     let id = host.arrive(0, 900_000);
+    // The end of the window less the longest assumed stall of the host.
     let end = host.now + Micros(400_000 - 150_000);
     let tick = host.config.tick;
-    assert!(write_by(&host).is_some_and(|by| by <= end && by + tick >= end), "write_by of the first attempt");
+    assert!(
+        write_by(&host).is_some_and(|by| by <= end && by + tick >= end),
+        "write_by of the first attempt is not within a tick before {end:?}"
+    );
     host.advance(50_000);
     host.end_attempt(id, 0, Outcome::ErrorResponse);
-    assert!(write_by(&host).is_some_and(|by| by <= end && by + tick >= end), "write_by of the retry");
+    assert!(
+        write_by(&host).is_some_and(|by| by <= end && by + tick >= end),
+        "write_by of the retry is not within a tick before {end:?}"
+    );
+    // The windows of classes 1 and 3 are no longer than that stall and permit no retry, so the only attempt
+    // may be written at any time. Class 2 has no window.
     for class in [1, 2, 3] {
         let id = host.arrive(class, 900_000);
         assert_eq!(write_by(&host), None);
         host.end_attempt(id, 0, Outcome::ErrorResponse);
-        assert_eq!(host.dispatched_to(id).len() > 1, class == 2, "retry of class {class}");
+        assert_eq!(
+            host.dispatched_to(id).len() > 1,
+            class == 2,
+            "class {class}: only the idempotent class 2 may be retried"
+        );
     }
 }
 
@@ -107,12 +121,12 @@
         requests.iter().copied().filter(|id| host.dispatched_to(*id) == [backend]).collect()
     };
     let in_flight = in_flight_at(&host, 0);
-    assert!(in_flight.len() >= 3, "{} of eight attempts at one of two backends", in_flight.len());
+    assert!(in_flight.len() >= 3, "only {} of eight attempts at one of two backends", in_flight.len());
     host.advance(5_000);
     for id in &in_flight[..2] {
         host.end_attempt(*id, 0, Outcome::ConnectionReset);
     }
-    assert!(host.has_ejected_any(), "two connection resets in a row do not eject the backend");
+    assert!(host.has_ejected_any(), "two connection resets in a row did not eject the backend");
     // Frees capacity for hedged requests.
     for id in in_flight_at(&host, 1) {
         host.end_attempt(id, 0, Outcome::Success);
@@ -121,6 +135,6 @@
     assert_eq!(
         host.dispatched_to(in_flight[2]),
         [0],
-        "a request that the ejected backend may still serve is hedged"
+        "a request that the ejected backend may still serve was hedged"
     );
 }
--- a/tests/balancer/slow_start.rs
+++ b/tests/balancer/slow_start.rs
@@ -18,8 +18,9 @@
     host.update_endpoints(EndpointListUpdate::Delta, vec![warming]);
     let chosen = serve(&mut host, 100, 0, |_| 20_000); // 2 s, one overload window
     let sent = chosen.iter().filter(|id| **id == 9).count();
-    // A warm backend serves 50 to 67 requests per second: at a tenth of it, times 2, over 2 s, at most 27.
-    assert!((1..=14).contains(&sent), "{sent} of 100 requests went to the warming backend");
+    // The backend serves 50 to 67 requests per second when warm, and tolerates up to 67 * 0.1 * 2 * 2 s = 27
+    // when it starts. The proxy sends at most half of that.
+    assert!((1..=14).contains(&sent), "{sent} of 100 requests went to the warming backend, expected 1 to 14");
 }
 
 /// Guards against proxies that each send a burst within the limit and together exceed it.
@@ -43,14 +44,17 @@
         sent += host.in_flight().len();
         host.end_all(|_| Outcome::Success);
     }
-    // At most 100 requests per second: at a tenth of it, times 2, over 2 s, a third per proxy is 13 for each
-    // backend.
+    // A backend that serves 100 requests per second when warm tolerates 100 * 0.1 * 2 * 2 s = 40 when it
+    // starts. A third of these, 13, may come from this proxy.
     let attempts = || {
         let all = host.requests.values().flat_map(|request| &request.attempts);
         all.filter(|attempt| Some(attempt.dispatched_at) >= started_at)
     };
     let most = (0..12).map(|id| attempts().filter(|attempt| attempt.backend == BackendId(id)).count()).max();
-    assert!(sent >= 1 && most <= Some(13), "{sent} requests sent, at most {most:?} to one warming backend");
+    assert!(
+        sent >= 1 && most <= Some(13),
+        "{sent} requests sent, up to {most:?} to one warming backend, expected at most 13"
+    );
 }
 
 /// Guards against a warming backend that is preferred because the live weights of all warm backends are low.
--- a/tests/balancer/source_layout.rs
+++ b/tests/balancer/source_layout.rs
@@ -38,7 +38,7 @@
 #[test]
 fn balancer_modules_are_small_and_listed_in_the_deploy_file() {
     let files = balancer_files();
-    assert!(files.len() > 1, "{files:?}");
+    assert!(files.len() > 1, "src/balancer has too few files: {files:?}");
     for file in &files {
         assert_within_limits(file);
     }
--- a/tests/balancer/support/host.rs
+++ b/tests/balancer/support/host.rs
@@ -39,7 +39,7 @@
 
 impl Host {
     pub fn new(config: Config, seed: u64) -> Host {
-        let balancer = Balancer::new(config.clone(), seed).expect("a valid configuration");
+        let balancer = Balancer::new(config.clone(), seed).expect("invalid configuration");
         Host {
             config,
             balancer,
@@ -71,16 +71,19 @@
         match action {
             Action::Dispatch { request, backend, .. } => self.dispatch(request, backend),
             Action::Reject { request } => {
-                let request = self.requests.get_mut(&request).expect("a known request");
+                let request = self.requests.get_mut(&request).expect("an unknown request was rejected");
                 check_rejection(request);
                 assert!(
                     request.outcome.replace(RequestOutcome::Rejected).is_none(),
-                    "a second final response"
+                    "a request was rejected after its final response"
                 );
             }
             Action::Fail { request } => {
-                let request = self.requests.get_mut(&request).expect("a known request");
-                assert!(request.outcome.replace(RequestOutcome::Failed).is_none(), "a second final response");
+                let request = self.requests.get_mut(&request).expect("an unknown request was failed");
+                assert!(
+                    request.outcome.replace(RequestOutcome::Failed).is_none(),
+                    "a request was failed after its final response"
+                );
             }
             Action::CancelAttempt { request, attempt } => {
                 let number = attempt.0 as usize;
@@ -99,8 +102,8 @@
     }
 
     fn dispatch(&mut self, request: RequestId, backend: BackendId) {
-        let request = self.requests.get_mut(&request).expect("a known request");
-        let listed = self.backends.get(&backend).expect("a listed backend");
+        let request = self.requests.get_mut(&request).expect("an unknown request was dispatched");
+        let listed = self.backends.get(&backend).expect("an attempt was dispatched to an unlisted backend");
         check_dispatch(&self.config, request, listed, self.now);
         let (zone, cell, dispatched_at) = (listed.zone, listed.cell, self.now);
         request.attempts.push(Attempt { backend, zone, cell, dispatched_at, outcome: None });
@@ -176,13 +179,14 @@
 
     /// Disconnects the client of a request.
     pub fn disconnect(&mut self, id: RequestId) {
-        self.requests.get_mut(&id).expect("a known request").outcome =
+        self.requests.get_mut(&id).expect("the test disconnects an unknown request").outcome =
             Some(RequestOutcome::ClientDisconnected);
         self.handle(Event::ClientDisconnected { request: id });
     }
 
-    /// Passes one event of each type with unknown ids to the balancer.
-    pub fn handle_unknown(&mut self, request: RequestId, attempt: AttemptNumber, token: TimerToken) {
+    /// Passes one event of each type that refers to a request, an attempt or a timer to the balancer, with
+    /// these unknown ids.
+    pub fn handle_unknown_ids(&mut self, request: RequestId, attempt: AttemptNumber, token: TimerToken) {
         let (outcome, latency) = (Outcome::ErrorResponse, Micros(5));
         self.handle(Event::TimerFired { token });
         self.handle(Event::ClientDisconnected { request });
@@ -223,7 +227,9 @@
         }
     }
 
-    /// Advances the clock in ticks, fires timers and timeouts that are due, and checks every deadline.
+    /// Advances the clock in ticks. In each tick, fires the timers that are due, ends cancelled attempts,
+    /// times out attempts whose request has reached its deadline, and checks that every request has its final
+    /// response in time.
     pub fn advance(&mut self, duration_us: u64) {
         let end = self.now + Micros(duration_us);
         while self.now < end {
@@ -283,7 +289,7 @@
         self.end_all(|_| Outcome::Success);
     }
 
-    /// Ends every attempt in flight with the outcome for its backend.
+    /// Ends every attempt in flight with the outcome that `outcome_of` returns for its backend.
     pub fn end_all(&mut self, mut outcome_of: impl FnMut(u32) -> Outcome) {
         for AttemptId { request, number } in self.in_flight() {
             let backend = self.dispatched_to(request)[number];
@@ -301,7 +307,8 @@
     }
 }
 
-/// Serves requests one by one, each with the latency of its backend; returns the backends in order.
+/// Serves `count` requests one after another, each within the `duration_us` of its backend. Returns the
+/// backends in order of dispatch. A request that is not dispatched on arrival adds none, and 5 ms pass.
 pub fn serve(host: &mut Host, count: usize, class: usize, duration_us: impl Fn(u32) -> u64) -> Vec<u32> {
     let mut chosen = Vec::new();
     for _ in 0..count {
--- a/tests/balancer/support/tracked_request.rs
+++ b/tests/balancer/support/tracked_request.rs
@@ -23,7 +23,7 @@
 }
 
 impl Attempt {
-    /// Whether no outcome proves that the backend did not execute the attempt.
+    /// Whether the backend may have executed the attempt: always, unless the outcome proves that it did not.
     pub fn may_have_executed(&self) -> bool {
         self.outcome.is_none_or(|outcome| !outcome.never_executed())
     }
