--- a/tests/discovery/start_times.rs
+++ b/tests/discovery/start_times.rs
@@ -27,27 +27,29 @@
 }
 
 /// Second of the list's clock at the start of the proxy: equal to the proxy's clock, far behind, far ahead.
-const CLOCKS: [u64; 3] = [PROXY_START / SECOND, 5_000, 50_000];
+const LIST_CLOCKS_AT_START: [u64; 3] = [PROXY_START / SECOND, 5_000, 50_000];
 
 /// Guards against a new backend that skips slow start because its start time is on another clock.
 #[test]
 fn a_new_backend_started_no_earlier_than_the_last_list_without_it() {
-    for clock in CLOCKS {
+    for clock_at_start in LIST_CLOCKS_AT_START {
         for is_snapshot in [true, false] {
             let mut start_times = StartTimes::default();
             assert_eq!(ages(&mut start_times, 0, true, vec![endpoint(1, 0)]), [None]);
             assert_eq!(ages(&mut start_times, 10, false, vec![]), []);
-            // Its listed start time is long before the last list without it, which bounds the age to 2 s.
+            // The listed start time of backend 2 is long before the last list without it. The age is bounded
+            // by that list, which arrived 2 s ago.
             let endpoints = |started: u64| match is_snapshot {
                 true => vec![endpoint(1, 0), endpoint(2, started)],
                 false => vec![endpoint(2, started)],
             };
-            let age = ages(&mut start_times, 12, is_snapshot, endpoints(clock - 100)).pop().flatten();
-            assert!(age <= Some(2), "{clock}: {age:?}");
+            let age =
+                ages(&mut start_times, 12, is_snapshot, endpoints(clock_at_start - 100)).pop().flatten();
+            assert!(age <= Some(2), "age {age:?} of a new backend, list clock {clock_at_start}");
             // The backend restarts.
             assert_eq!(ages(&mut start_times, 14, false, vec![]), []);
-            let age = ages(&mut start_times, 15, is_snapshot, endpoints(clock + 14)).pop().flatten();
-            assert!(age <= Some(1), "{clock}: {age:?}");
+            let age = ages(&mut start_times, 15, is_snapshot, endpoints(clock_at_start + 14)).pop().flatten();
+            assert!(age <= Some(1), "age {age:?} of a restarted backend, list clock {clock_at_start}");
         }
     }
 }
@@ -55,25 +57,34 @@
 /// Guards against ages in the first list that depend on a wall clock that may be wrong.
 #[test]
 fn the_first_list_gives_ages_relative_to_its_newest_backend() {
-    for clock in CLOCKS {
+    for clock_at_start in LIST_CLOCKS_AT_START {
         let mut start_times = StartTimes::default();
-        let endpoints =
-            vec![endpoint(1, clock - 100), endpoint(2, clock - 40), endpoint(3, clock - 30), endpoint(4, 0)];
+        let endpoints = vec![
+            endpoint(1, clock_at_start - 100),
+            endpoint(2, clock_at_start - 40),
+            endpoint(3, clock_at_start - 30),
+            endpoint(4, 0),
+        ];
         assert_eq!(ages(&mut start_times, 0, true, endpoints), [Some(70), Some(10), Some(0), None]);
         // Converted start times are kept when a later list repeats them; new ones are converted alongside.
-        let endpoints = vec![endpoint(3, clock - 30), endpoint(2, clock - 40), endpoint(5, clock + 4)];
+        let endpoints = vec![
+            endpoint(3, clock_at_start - 30),
+            endpoint(2, clock_at_start - 40),
+            endpoint(5, clock_at_start + 4),
+        ];
         assert_eq!(ages(&mut start_times, 5, true, endpoints), [Some(5), Some(15), Some(0)]);
     }
 }
 
-/// Guards against start times that are converted to a later time than the fastest update allows.
+/// Guards against start times that are converted by the delay of a slow update, although a faster one arrived
+/// before.
 #[test]
 fn start_times_are_converted_by_the_fastest_update() {
-    for clock in CLOCKS {
+    for clock_at_start in LIST_CLOCKS_AT_START {
         let mut start_times = StartTimes::default();
         ages(&mut start_times, 0, true, vec![endpoint(1, 0)]);
-        assert_eq!(ages(&mut start_times, 21, false, vec![endpoint(2, clock + 20)]), [Some(0)]);
-        assert_eq!(ages(&mut start_times, 33, false, vec![endpoint(3, clock + 30)]), [Some(2)]);
+        assert_eq!(ages(&mut start_times, 21, false, vec![endpoint(2, clock_at_start + 20)]), [Some(0)]);
+        assert_eq!(ages(&mut start_times, 33, false, vec![endpoint(3, clock_at_start + 30)]), [Some(2)]);
     }
 }
 
--- a/tests/discovery/watch.rs
+++ b/tests/discovery/watch.rs
@@ -14,7 +14,7 @@
 /// An update as the dispatcher receives it.
 type Update = (EndpointListUpdate, Vec<Endpoint>);
 
-/// A running watch in subscribe mode, with the handles that the dispatcher has of it.
+/// A running watch in subscribe mode, with the handles that the dispatcher has to it.
 struct RunningWatch {
     /// Changes the address of discovery.
     address: watch::Sender<SocketAddr>,
@@ -72,7 +72,7 @@
 
 /// Guards against a resubscription during a call that bypasses the backoff after the call fails.
 #[tokio::test]
-async fn a_resubscription_during_a_call_does_not_outlive_it() {
+async fn a_resubscription_during_a_call_causes_no_further_call() {
     let scenario = async {
         let service = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let mut watch = start_watch(service.local_addr().expect("an address"));
@@ -90,8 +90,8 @@
     LocalSet::new().run_until(scenario).await;
 }
 
-/// Guards against a wait that outlasts a change of the discovery address, and a call for changes at the new
-/// one.
+/// Guards against a wait that outlasts a change of the discovery address, and a call to the new address that
+/// asks for changes since a version of the old one.
 #[tokio::test]
 async fn an_address_change_ends_the_wait_and_requests_a_snapshot() {
     let scenario = async {
@@ -107,7 +107,7 @@
         let call = tokio::time::timeout(Duration::from_secs(4), next_call(&new)).await;
         let (connection, headers) = call.expect("a call to the new address within 4 s");
         assert!(headers.starts_with("GET /api/targets HTTP"), "{headers}");
-        // After another rejection it is called once more without waiting for the balancer.
+        // After this call fails too, the new address is called once more without waiting for the balancer.
         respond_unavailable(&connection);
         let second_call = tokio::time::timeout(Duration::from_secs(4), next_call(&new)).await;
         respond_unavailable(&second_call.expect("a second call to the new address within 4 s").0);
@@ -149,6 +149,7 @@
         socket.bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
         let service = socket.listen(1).expect("a listener with a short backlog");
         let address = service.local_addr().expect("an address");
+        // Fills the backlog, so that the connection attempt of the watch is not answered.
         let mut queued = Vec::new();
         let connect_timeout = Duration::from_millis(100);
         while let Ok(connected) = tokio::time::timeout(connect_timeout, TcpStream::connect(address)).await {
--- a/tests/simulator_adapter.rs
+++ b/tests/simulator_adapter.rs
@@ -14,10 +14,12 @@
 "rules":{"answer_slack_us":16000,"cold_from":0.3,"fall_multiple":2.5,"must_ask_in_us":9000000,
 "ramp_time_us":9000000,"stop_sending_within_us":500000,"tip_after_us":2000000}}"#;
 
+/// The message that creates the instance proxy-3 with these settings.
 fn create(settings: &str) -> String {
     format!("[\"CREATE\",\"proxy-3\",99,{}]\n", settings.replace('\n', ""))
 }
 
+/// An endpoint list with one backend, and the message that delivers it to proxy-3.
 const LIST: &str = r#"["SNAPSHOT_ROWS",0,[["east",0,"big","10.0.0.1:80","IN",1,null]]]
 ["VIEW","proxy-3",0,4,"warm_copy"]
 "#;
@@ -47,7 +49,8 @@
     Run { output: text(out.stdout), error: text(out.stderr), is_success: out.status.success() }
 }
 
-/// Guards against output for an empty batch other than its end, and against failure at the end of input.
+/// Guards against output for an empty batch beyond the end of its reply, and against failure at the end of
+/// input.
 #[test]
 fn an_empty_batch_yields_and_the_end_of_input_succeeds() {
     let success = |output: &str| Run { output: output.into(), error: String::new(), is_success: true };
@@ -77,6 +80,7 @@
 fn a_request_without_backends_is_rejected_within_a_second() {
     let request = r#"["JOB_IN","proxy-3","00000000000000ab",null,900000,null,"north",0,"pay"]"#;
     let mut input = format!("[\"TICK\",1000]\n{}{request}\n[\"END\"]\n", create(SETTINGS));
+    // The timers that the balancer may have set, one per tick of 5 ms.
     for (at, token) in (1..200).map(|n| (1000 + n * 5000, n)) {
         input += &format!("[\"TICK\",{at}]\n[\"TIMEOUT_FIRED\",\"proxy-3\",{token}]\n[\"END\"]\n");
     }
@@ -90,9 +94,12 @@
 fn a_killed_instance_is_removed_and_can_be_created_again() {
     let (first, kill) = (create(SETTINGS), "[\"KILLED\",\"proxy-3\"]\n");
     let Run { output, is_success, .. } = run(&format!("[\"TICK\",5]\n{first}{kill}{first}{LIST}[\"END\"]\n"));
-    assert!(is_success && output.ends_with("[\"YIELD\"]\n"), "{output}");
+    assert!(is_success && output.ends_with("[\"YIELD\"]\n"), "the instance was not created again: {output}");
     let Run { error, is_success, .. } = run(&format!("[\"TICK\",5]\n{first}{kill}{LIST}[\"END\"]\n"));
-    assert!(!is_success && error.contains("known instance"), "{error}");
+    assert!(
+        !is_success && error.contains("known instance"),
+        "a list for a killed instance was not rejected: {error}"
+    );
 }
 
 /// Guards against malformed lines that are skipped or reported without line number and expected value.
@@ -128,11 +135,18 @@
         let Run { error, is_success, .. } =
             run(&format!("[\"TICK\",1]\n{}{LIST}{line}\n[\"END\"]\n", create(SETTINGS)));
         assert!(!is_success, "malformed line accepted: {line}");
-        assert!(error.contains("line 5:") && error.contains(expected), "{line}: {error}");
-        assert!(!error.contains("panicked"), "{error}");
+        // The malformed line follows TICK, CREATE and the two lines of LIST.
+        assert!(
+            error.contains("line 5:") && error.contains(expected),
+            "{line}: expected {expected}, got {error}"
+        );
+        assert!(!error.contains("panicked"), "{line}: the adapter panicked: {error}");
     }
     let Run { error, is_success, .. } = run("[\"END\"]\n");
-    assert!(!is_success && error.contains("TICK first"), "{error}");
+    assert!(
+        !is_success && error.contains("TICK first"),
+        "a message outside a batch was not reported: {error}"
+    );
 }
 
 /// Guards against invalid settings that end the whole process or are reported without their key.
@@ -156,6 +170,9 @@
         let Run { output, error, is_success } =
             run(&format!("[\"TICK\",1]\n{}{LIST}[\"END\"]\n", create(&settings)));
         assert!(is_success, "{error}");
-        assert!(output.starts_with("[\"BROKEN\",\"proxy-3\",") && output.contains(key), "{to}: {output}");
+        assert!(
+            output.starts_with("[\"BROKEN\",\"proxy-3\",") && output.contains(key),
+            "{to}: expected an error for {key}, got {output}"
+        );
     }
 }
