--- a/tests/balancer/fleet.rs
+++ b/tests/balancer/fleet.rs
@@ -48,7 +48,7 @@
 
 /// Guards against proxies that all connect to every backend, and backends that no proxy uses.
 #[test]
-fn few_of_many_proxies_use_a_backend_which_gets_an_equal_share() {
+fn few_of_many_proxies_use_each_backend_and_load_it_evenly() {
     let backends: Vec<Backend> = (0..60).map(|id| backend(id, id % 3, id % 2)).collect();
     let mut hosts = fleet(100, &backends);
     let all = backend_uses(hosts.iter_mut(), 60);
--- a/tests/balancer/reconfiguration.rs
+++ b/tests/balancer/reconfiguration.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeSet;
 
 /// A host with these classes and four backends of one kind, whose retry budget allows retries.
-fn host(classes: Vec<Class>) -> Host {
+fn host_with_retry_budget(classes: Vec<Class>) -> Host {
     let mut host = Host::new(Config { classes, ..Config::example() }, 3);
     host.update_endpoints(EndpointListUpdate::Snapshot, backends(4));
     serve(&mut host, 30, 0, |_| 20_000);
@@ -33,7 +33,7 @@
 
 /// The progress of a request whose first attempt ends in a connection reset after its class was replaced.
 fn progress_after_reset(idempotency: Idempotency, new_idempotency: Idempotency) -> Progress {
-    let mut host = host(vec![class(Idempotency::Idempotent), class(idempotency)]);
+    let mut host = host_with_retry_budget(vec![class(Idempotency::Idempotent), class(idempotency)]);
     let id = host.arrive(1, 900_000);
     host.reconfigure(Config {
         classes: vec![class(Idempotency::Idempotent), class(new_idempotency)],
@@ -52,7 +52,7 @@
     let retried = Progress { attempts: 2, outcome: None };
     assert_eq!(progress_after_reset(Idempotency::Idempotent, Idempotency::NonIdempotent), retried);
     // A later request uses the new idempotency.
-    let mut host = host(vec![class(Idempotency::Idempotent)]);
+    let mut host = host_with_retry_budget(vec![class(Idempotency::Idempotent)]);
     host.reconfigure(Config { classes: vec![class(Idempotency::NonIdempotent)], ..host.config.clone() });
     let id = host.arrive(0, 900_000);
     host.end_attempt(id, 0, Outcome::ConnectionReset);
@@ -64,7 +64,7 @@
 #[test]
 fn a_pending_request_keeps_the_limits_of_its_arrival() {
     for (before, after, attempts) in [(1, 3, 1), (3, 1, 3)] {
-        let mut host = host(vec![class(Idempotency::Idempotent)]);
+        let mut host = host_with_retry_budget(vec![class(Idempotency::Idempotent)]);
         host.reconfigure(Config { max_attempts: before, ..host.config.clone() });
         let id = host.arrive(0, 900_000);
         host.reconfigure(Config { max_attempts: after, ..host.config.clone() });
@@ -79,7 +79,7 @@
         );
     }
     // The objective at its arrival decides when a request that is queued without a backend is given up.
-    let mut host = host(vec![class(Idempotency::Idempotent)]);
+    let mut host = host_with_retry_budget(vec![class(Idempotency::Idempotent)]);
     host.update_endpoints(EndpointListUpdate::Snapshot, Vec::new());
     let with_long_objective = host.arrive(0, 900_000);
     let short = Class { latency_objective: Micros(100_000), ..class(Idempotency::Idempotent) };
@@ -97,7 +97,11 @@
 #[test]
 fn classes_with_requests_in_flight_may_be_removed_and_renumbered() {
     let slow = Class { latency_objective: Micros(800_000), ..class(Idempotency::NonIdempotent) };
-    let mut host = host(vec![class(Idempotency::Idempotent), slow.clone(), class(Idempotency::Idempotent)]);
+    let mut host = host_with_retry_budget(vec![
+        class(Idempotency::Idempotent),
+        slow.clone(),
+        class(Idempotency::Idempotent),
+    ]);
     let of_removed_class = host.arrive(1, 900_000);
     let of_moved_class = host.arrive(2, 900_000);
     let classes = vec![class(Idempotency::NonIdempotent), class(Idempotency::Idempotent)];
@@ -147,7 +151,8 @@
 fn the_statistics_of_a_class_follow_it_to_its_new_index() {
     // Steps of 10 ms after which a queued request of the class is given up.
     let given_up_after = |previous_class: Option<usize>| {
-        let mut host = host(vec![class(Idempotency::Idempotent), class(Idempotency::Idempotent)]);
+        let mut host =
+            host_with_retry_budget(vec![class(Idempotency::Idempotent), class(Idempotency::Idempotent)]);
         serve(&mut host, 60, 1, |_| 300_000);
         let classes = vec![class(Idempotency::Idempotent)];
         host.reconfigure_from(
@@ -172,7 +177,7 @@
 /// Guards against a reconfiguration that ends an ejection.
 #[test]
 fn an_ejected_backend_stays_ejected_after_a_reconfiguration() {
-    let mut host = host(vec![class(Idempotency::Idempotent)]);
+    let mut host = host_with_retry_budget(vec![class(Idempotency::Idempotent)]);
     for _ in 0..40 {
         let id = host.arrive(0, 900_000);
         host.end_all(|backend| if backend == 2 { Outcome::ConnectFailed } else { Outcome::Success });
@@ -326,7 +331,7 @@
 /// Guards against an invalid configuration that is applied in part.
 #[test]
 fn an_invalid_configuration_changes_nothing() {
-    let mut host = host(vec![class(Idempotency::Idempotent)]);
+    let mut host = host_with_retry_budget(vec![class(Idempotency::Idempotent)]);
     let valid = host.config.clone();
     host.reconfigure_from(Config { classes: Vec::new(), ..valid.clone() }, Vec::new(), Vec::new());
     host.config = valid;
--- a/tests/balancer/subscription.rs
+++ b/tests/balancer/subscription.rs
@@ -19,6 +19,6 @@
     });
     host.advance(400_000);
     assert_eq!(host.resubscriptions, 2);
-    host.advance(6_000_000);
+    host.advance(6_000_000); // more than half of the poll interval
     assert_eq!(host.resubscriptions, 3, "an unanswered call was not made again");
 }
--- a/tests/balancer/support/rules.rs
+++ b/tests/balancer/support/rules.rs
@@ -1,4 +1,4 @@
-//! Invariants that every action must satisfy.
+//! Invariants, which the host checks at every action and, for deadlines, at every tick.
 
 use super::tracked_request::{Attempt, TrackedRequest};
 use load_balancer::{Backend, BackendState, Config, Idempotency, IdempotencyScope, Micros, RequestId, Time};
@@ -69,7 +69,7 @@
         let is_pending = request.outcome.is_none() && !request.is_streaming;
         assert!(
             !is_pending || now < request.deadline + RESPONSE_SLACK,
-            "{id:?} has no final response in time"
+            "{id:?} has no final response {RESPONSE_SLACK:?} after its deadline"
         );
     }
 }
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -108,10 +108,11 @@
     assert_eq!((list.version, list.is_snapshot, list.endpoints.len()), (7, true, 1));
     let backend = &list.endpoints[0].backend;
     assert_eq!((backend.state, backend.started_at), (BackendState::Ready, Some(Time(5000))));
+    // The list with a second entry, a copy of the first in which a key has this value.
     let entry = |key: &str, value: Value| {
         let mut document = endpoint_list();
-        let invalid = with_value(&document["endpoints"][0], &format!("/{key}"), value);
-        document["endpoints"].as_array_mut().unwrap().push(invalid);
+        let changed = with_value(&document["endpoints"][0], &format!("/{key}"), value);
+        document["endpoints"].as_array_mut().unwrap().push(changed);
         document
     };
     for long_ago in [json!(null), json!(0)] {
