--- a/tests/proxy/reload/large_files.rs
+++ b/tests/proxy/reload/large_files.rs
@@ -42,7 +42,9 @@
     assert_eq!(send_request(&proxy, &request_of_class(&format!("c{last}"), "GET")).status(), 200);
     let versions: Vec<u64> = reload_log(&proxy)
         .iter()
-        .filter_map(|line| line.strip_prefix("configuration ")?.split(' ').next()?.parse().ok())
+        .filter_map(|line| {
+            line.strip_prefix("configuration in force version=")?.split(' ').next()?.parse().ok()
+        })
         .collect();
     assert!(versions.windows(2).all(|pair| pair[0] <= pair[1]), "versions out of order: {versions:?}");
 }
