--- a/src/units.rs
+++ b/src/units.rs
@@ -61,7 +61,7 @@
 identifiers! {
     /// Identifies a client request; ids are not reused.
     RequestId(u64);
-    /// Identifies a backend by its address; the host assigns the same number at every proxy.
+    /// Numeric identifier of a backend, which the host derives from the endpoint list; equal at every proxy.
     BackendId(u64);
     /// Identifies a network zone.
     ZoneId(u64);
