--- a/src/discovery/client.rs
+++ b/src/discovery/client.rs
@@ -19,16 +19,16 @@
 #[derive(Debug, thiserror::Error)]
 pub enum DiscoveryError {
     /// The connection could not be established.
-    #[error("{0}")]
+    #[error("cannot connect to discovery: {0}")]
     Connect(ConnectError),
     /// The address or the path is not valid in an HTTP request.
-    #[error("{0}")]
+    #[error("invalid discovery request: {0}")]
     Request(#[from] hyper::http::Error),
     /// The HTTP exchange failed.
-    #[error("{0}")]
+    #[error("discovery connection failed: {0}")]
     Connection(#[from] hyper::Error),
     /// The response body is truncated or too long.
-    #[error("{0}")]
+    #[error("cannot read the response of discovery: {0}")]
     Body(Box<dyn std::error::Error + Send + Sync>),
     /// The response status is not 200.
     #[error("discovery answered with status {0}")]
