--- a/scale/src/platform.rs
+++ b/scale/src/platform.rs
@@ -5,7 +5,7 @@
 use load_balancer::discovery::{Watch, WatchSettings};
 use load_balancer::wire::endpoint_list::{Endpoint, EndpointList};
 use load_balancer::wire::names::identifier;
-use load_balancer::wire::settings::SettingsMessage;
+use load_balancer::wire::settings::SettingsDocument;
 use load_balancer::wire::WireError;
 use load_balancer::{Backend, BackendId, Config, DiscoveryMode, EndpointListUpdate, Time};
 use serde_json::Value;
@@ -18,7 +18,7 @@
 
 /// Decodes a proxy's settings into the balancer's configuration.
 pub fn read_config(settings: &Value) -> Result<Config, WireError> {
-    Ok(SettingsMessage::from_value(settings)?.config)
+    Ok(SettingsDocument::from_value(settings)?.config)
 }
 
 /// Decodes an endpoint list into its backends.
--- a/src/bin/load-balancer-proxy/config.rs
+++ b/src/bin/load-balancer-proxy/config.rs
@@ -4,7 +4,7 @@
 use load_balancer::net::resource_exhaustion;
 use load_balancer::wire::endpoint_list::EndpointList;
 use load_balancer::wire::names::Names;
-use load_balancer::wire::proxy_config::{ProxyConfigMessage, ProxySettingsMessage};
+use load_balancer::wire::proxy_config::{ProxyConfigDocument, ProxySettingsDocument};
 use load_balancer::wire::WireError;
 use load_balancer::Micros;
 use std::io;
@@ -86,34 +86,34 @@
         .map_err(|source| ConfigFileError::Unreadable { path: path.into(), source })?;
     let document = serde_json::from_slice(&text)
         .map_err(|source| ConfigFileError::NotJson { path: path.into(), source })?;
-    Ok(ProxyConfig::from(ProxyConfigMessage::from_value(&document)?))
+    Ok(ProxyConfig::from(ProxyConfigDocument::from_value(&document)?))
 }
 
-impl From<ProxyConfigMessage> for ProxyConfig {
-    fn from(message: ProxyConfigMessage) -> ProxyConfig {
+impl From<ProxyConfigDocument> for ProxyConfig {
+    fn from(document: ProxyConfigDocument) -> ProxyConfig {
         ProxyConfig {
-            listen: message.listen,
-            discovery: message.discovery,
-            seed: message.seed,
-            max_file_descriptors: message.max_file_descriptors as usize,
-            cached_list: message.cached_list,
-            settings: Arc::new(Settings::from(message.settings)),
+            listen: document.listen,
+            discovery: document.discovery,
+            seed: document.seed,
+            max_file_descriptors: document.max_file_descriptors as usize,
+            cached_list: document.cached_list,
+            settings: Arc::new(Settings::from(document.settings)),
         }
     }
 }
 
-impl From<ProxySettingsMessage> for Settings {
-    fn from(message: ProxySettingsMessage) -> Settings {
-        let drain_notice_limit = message.drain_notice_limit.unwrap_or(MIN_DRAIN_NOTICE_LIMIT);
+impl From<ProxySettingsDocument> for Settings {
+    fn from(document: ProxySettingsDocument) -> Settings {
+        let drain_notice_limit = document.drain_notice_limit.unwrap_or(MIN_DRAIN_NOTICE_LIMIT);
         Settings {
             version: 1,
-            balancer: message.balancer.config,
-            names: message.balancer.names,
-            max_open_requests: message.max_open_requests as usize,
-            idle_timeout: message.idle_timeout,
-            connect_timeout: message.connect_timeout,
+            balancer: document.balancer.config,
+            names: document.balancer.names,
+            max_open_requests: document.max_open_requests as usize,
+            idle_timeout: document.idle_timeout,
+            connect_timeout: document.connect_timeout,
             drain_notice_limit: drain_notice_limit.clamp(MIN_DRAIN_NOTICE_LIMIT, MAX_DRAIN_NOTICE_LIMIT),
-            longest_deadline: message.balancer.longest_deadline,
+            longest_deadline: document.balancer.longest_deadline,
         }
     }
 }
--- a/src/bin/simulator-adapter/instances.rs
+++ b/src/bin/simulator-adapter/instances.rs
@@ -6,7 +6,7 @@
 use crate::messages::Message;
 use crate::replies::{write_action, write_invalid_settings};
 use load_balancer::wire::names::Names;
-use load_balancer::wire::settings::{self, SettingsMessage};
+use load_balancer::wire::settings::{self, SettingsDocument};
 use load_balancer::wire::WireError;
 use load_balancer::{Action, Balancer, Time};
 use serde_json::Value;
@@ -28,7 +28,7 @@
 
 impl RunningInstance {
     fn new(settings: &Value, seed: u64) -> Result<RunningInstance, WireError> {
-        let SettingsMessage { config, names, .. } = SettingsMessage::from_value(settings)?;
+        let SettingsDocument { config, names, .. } = SettingsDocument::from_value(settings)?;
         let balancer = Balancer::new(config, seed).map_err(|error| settings::config_error(&error))?;
         Ok(RunningInstance { balancer, names })
     }
--- a/src/wire/proxy_config.rs
+++ b/src/wire/proxy_config.rs
@@ -3,7 +3,7 @@
 use super::endpoint_list::EndpointList;
 use super::error::WireError;
 use super::object::Object;
-use super::settings::{self, SettingsMessage};
+use super::settings::{self, SettingsDocument};
 use crate::units::Micros;
 use serde_json::Value;
 use std::net::SocketAddr;
@@ -13,7 +13,7 @@
 
 /// The configuration file of a proxy.
 #[derive(Debug)]
-pub struct ProxyConfigMessage {
+pub struct ProxyConfigDocument {
     /// Address at which the proxy listens for clients.
     pub listen: SocketAddr,
     /// Address of discovery.
@@ -25,14 +25,14 @@
     /// The last endpoint list of the proxy before this start; `None` if the file has none.
     pub cached_list: Option<EndpointList>,
     /// Settings that a reload may change.
-    pub settings: ProxySettingsMessage,
+    pub settings: ProxySettingsDocument,
 }
 
 /// Settings of the balancer and of the proxy's connections.
 #[derive(Debug)]
-pub struct ProxySettingsMessage {
+pub struct ProxySettingsDocument {
     /// Settings of the balancer; their configuration is validated.
-    pub balancer: SettingsMessage,
+    pub balancer: SettingsDocument,
     /// Time within which requests to a backend must stop after discovery lists it as draining. `None` if the
     /// file does not set it.
     pub drain_notice_limit: Option<Micros>,
@@ -44,9 +44,9 @@
     pub connect_timeout: Micros,
 }
 
-impl ProxyConfigMessage {
+impl ProxyConfigDocument {
     /// Decodes the document; unknown keys are ignored. Stops at the first invalid key that it finds.
-    pub fn from_value(document: &Value) -> Result<ProxyConfigMessage, WireError> {
+    pub fn from_value(document: &Value) -> Result<ProxyConfigDocument, WireError> {
         let document = Object::root(document);
         let max_file_descriptors = document.object("limits").required("sockets")?;
         let settings = document.object("settings");
@@ -63,13 +63,13 @@
         }
         let cached_list =
             if document.has("known") { Some(EndpointList::decode(&document.object("known"))?) } else { None };
-        Ok(ProxyConfigMessage { listen, discovery, seed, max_file_descriptors, cached_list, settings })
+        Ok(ProxyConfigDocument { listen, discovery, seed, max_file_descriptors, cached_list, settings })
     }
 }
 
 /// Decodes the settings of the balancer and validates their configuration.
-fn decode_balancer(settings: &Object) -> Result<SettingsMessage, WireError> {
-    let balancer = SettingsMessage::decode(settings)?;
+fn decode_balancer(settings: &Object) -> Result<SettingsDocument, WireError> {
+    let balancer = SettingsDocument::decode(settings)?;
     if let Err(error) = balancer.config.validate() {
         let WireError { path, fault } = settings::config_error(&error);
         return Err(settings.error(&path, fault));
@@ -78,10 +78,10 @@
 }
 
 fn decode_settings(
-    settings: &Object, balancer: SettingsMessage, drain_notice_limit: Option<Micros>,
-) -> Result<ProxySettingsMessage, WireError> {
+    settings: &Object, balancer: SettingsDocument, drain_notice_limit: Option<Micros>,
+) -> Result<ProxySettingsDocument, WireError> {
     let limits = settings.object("limits");
-    Ok(ProxySettingsMessage {
+    Ok(ProxySettingsDocument {
         balancer,
         drain_notice_limit,
         max_open_requests: limits.required("open_cap")?,
--- a/src/wire/settings.rs
+++ b/src/wire/settings.rs
@@ -9,7 +9,7 @@
 
 /// Decoded settings. Their configuration is not validated; see [`Config::validate`].
 #[derive(Debug)]
-pub struct SettingsMessage {
+pub struct SettingsDocument {
     /// Configuration of the balancer.
     pub config: Config,
     /// Names of the classes and tenants of `config`.
@@ -18,14 +18,14 @@
     pub longest_deadline: Micros,
 }
 
-impl SettingsMessage {
+impl SettingsDocument {
     /// Decodes a document; unknown keys are ignored.
-    pub fn from_value(document: &Value) -> Result<SettingsMessage, WireError> {
-        SettingsMessage::decode(&Object::root(document))
+    pub fn from_value(document: &Value) -> Result<SettingsDocument, WireError> {
+        SettingsDocument::decode(&Object::root(document))
     }
 
     /// Decodes an object within a document.
-    pub(super) fn decode(settings: &Object) -> Result<SettingsMessage, WireError> {
+    pub(super) fn decode(settings: &Object) -> Result<SettingsDocument, WireError> {
         let local_zone = decode_local_zone(settings)?;
         let mut names = Names::default();
         let Classes { classes, longest_deadline } = decode_classes(settings, &mut names)?;
@@ -56,7 +56,7 @@
             overload_multiple: rules.required("fall_multiple")?,
             overload_window: rules.required("tip_after_us")?,
         };
-        Ok(SettingsMessage { config, names, longest_deadline })
+        Ok(SettingsDocument { config, names, longest_deadline })
     }
 }
 
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -1,8 +1,8 @@
 //! Decoding of the platform's documents, and the error messages for invalid ones.
 
 use load_balancer::wire::endpoint_list::EndpointList;
-use load_balancer::wire::proxy_config::ProxyConfigMessage;
-use load_balancer::wire::settings::SettingsMessage;
+use load_balancer::wire::proxy_config::ProxyConfigDocument;
+use load_balancer::wire::settings::SettingsDocument;
 use load_balancer::{BackendState, DiscoveryMode, Micros, Time};
 use serde_json::{json, Value};
 
@@ -46,7 +46,7 @@
 
 #[test]
 fn optional_keys_may_be_null_and_unknown_keys_are_ignored() {
-    let decoded = SettingsMessage::from_value(&settings()).unwrap();
+    let decoded = SettingsDocument::from_value(&settings()).unwrap();
     assert_eq!(decoded.config.discovery, DiscoveryMode::Push);
     assert_eq!((decoded.config.tenants.len(), decoded.config.over_quota_weight), (0, 0.0));
     assert_eq!(decoded.longest_deadline, Micros(900_000));
@@ -55,7 +55,7 @@
         ["/customers", "/over_share_worth", "/costs", "/weight_source", "/profiles/0/late_worth", "/new"];
     for pointer in nullable {
         let document = with_value(&settings(), pointer, Value::Null);
-        assert_eq!(SettingsMessage::from_value(&document).unwrap().config, decoded.config, "{pointer}");
+        assert_eq!(SettingsDocument::from_value(&document).unwrap().config, decoded.config, "{pointer}");
     }
 }
 
@@ -89,7 +89,7 @@
         ),
     ];
     for (document, message) in cases {
-        assert_eq!(SettingsMessage::from_value(&document).unwrap_err().to_string(), message);
+        assert_eq!(SettingsDocument::from_value(&document).unwrap_err().to_string(), message);
     }
 }
 
@@ -97,7 +97,7 @@
 #[test]
 fn a_long_value_is_truncated_between_two_characters() {
     let document = with_value(&settings(), "/my_zone", json!("\u{e9}".repeat(50_000)));
-    let message = SettingsMessage::from_value(&document).unwrap_err().to_string();
+    let message = SettingsDocument::from_value(&document).unwrap_err().to_string();
     let truncated = message.strip_prefix("my_zone: expected one of zones, got ").unwrap();
     assert_eq!(truncated, format!("\"{}...", "\u{e9}".repeat(99)));
 }
@@ -139,7 +139,7 @@
 
 #[test]
 fn errors_of_a_proxy_configuration_name_paths_from_its_root() {
-    let decoded = ProxyConfigMessage::from_value(&proxy_config()).unwrap();
+    let decoded = ProxyConfigDocument::from_value(&proxy_config()).unwrap();
     assert_eq!((decoded.seed, decoded.max_file_descriptors), (255, 64));
     assert_eq!(decoded.cached_list.map(|list| list.version), Some(7));
     let cases = [
@@ -159,7 +159,7 @@
         (with_value(&proxy_config(), "/known", json!({})), "known.endpoints: missing, expected an array"),
     ];
     for (document, message) in cases {
-        assert_eq!(ProxyConfigMessage::from_value(&document).unwrap_err().to_string(), message);
+        assert_eq!(ProxyConfigDocument::from_value(&document).unwrap_err().to_string(), message);
     }
 }
 
@@ -183,7 +183,7 @@
         ),
     ];
     for (document, expected) in cases {
-        let error = ProxyConfigMessage::from_value(&document).unwrap_err();
+        let error = ProxyConfigDocument::from_value(&document).unwrap_err();
         assert_eq!(error.to_string(), expected);
     }
 }
