--- a/scale/src/balancer_point/host.rs
+++ b/scale/src/balancer_point/host.rs
@@ -170,7 +170,7 @@
             attempt: end.attempt,
             outcome: Outcome::Success,
             latency: self.now - end.dispatched_at,
-            answered: true,
+            final_response_sent: true,
         }));
         self.record_final_response(end.request);
     }
--- a/scale/src/simulated_proxy/proxy/attempts.rs
+++ b/scale/src/simulated_proxy/proxy/attempts.rs
@@ -91,7 +91,13 @@
     pub(super) fn attempt_ended(
         &mut self, request: RequestId, attempt: AttemptNumber, outcome: Outcome, latency: Micros,
     ) {
-        let answered = self.requests.get(&request).is_none_or(|open| open.has_final_response);
-        self.events.push(Event::AttemptEnded(AttemptResult { request, attempt, outcome, latency, answered }));
+        let final_response_sent = self.requests.get(&request).is_none_or(|open| open.has_final_response);
+        self.events.push(Event::AttemptEnded(AttemptResult {
+            request,
+            attempt,
+            outcome,
+            latency,
+            final_response_sent,
+        }));
     }
 }
--- a/src/action.rs
+++ b/src/action.rs
@@ -9,7 +9,8 @@
 ///
 /// Host and balancer both number the attempts of a request from 0 in the order of their
 /// [`Dispatch`](Action::Dispatch). There is no action for a served request: the host forwards a
-/// [`Success`](Outcome::Success) immediately and reports it as [`answered`](crate::AttemptResult::answered).
+/// [`Success`](Outcome::Success) immediately and reports it with
+/// [`final_response_sent`](crate::AttemptResult::final_response_sent) set.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Sends an attempt, which may last until the client gives up.
--- a/src/balancer/attempt_outcome.rs
+++ b/src/balancer/attempt_outcome.rs
@@ -36,7 +36,7 @@
         self.record_outcome(now, &attempt, outcome, result.latency);
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.attempt_ended(result.attempt, outcome.never_executed());
-        if result.answered || outcome == Outcome::Success {
+        if result.final_response_sent || outcome == Outcome::Success {
             let on_time = outcome == Outcome::Success && now <= request.objective_at;
             self.close(id, Some(on_time));
         } else if !request.is_in_flight() {
--- a/src/bin/load-balancer-proxy/dispatcher/request_table.rs
+++ b/src/bin/load-balancer-proxy/dispatcher/request_table.rs
@@ -61,8 +61,8 @@
 
     /// Logs the end of an attempt and returns the event for the balancer.
     pub fn attempt_ended(&self, attempt: AttemptNumber, outcome: Outcome, latency: Micros) -> Event {
-        let answered = self.is_answered();
-        let result = AttemptResult { request: self.id, attempt, outcome, latency, answered };
+        let final_response_sent = self.is_answered();
+        let result = AttemptResult { request: self.id, attempt, outcome, latency, final_response_sent };
         log::attempt_ended(&self.upstream_request, &result);
         Event::AttemptEnded(result)
     }
--- a/src/bin/load-balancer-proxy/dispatcher/tests.rs
+++ b/src/bin/load-balancer-proxy/dispatcher/tests.rs
@@ -93,7 +93,7 @@
         panic!("expected an AttemptEnded event")
     };
     let expected = (AttemptNumber(1), Outcome::NotSent, true);
-    assert_eq!((end.attempt, end.outcome, end.answered), expected);
+    assert_eq!((end.attempt, end.outcome, end.final_response_sent), expected);
     dispatcher.requests.remove_finished(&mut dispatcher.deadlines);
     assert_eq!(dispatcher.requests.len(), 0, "all requests are removed");
     assert_eq!(dispatcher.deadlines.next(), Time::NEVER, "all deadlines are removed");
--- a/src/bin/simulator-adapter/events.rs
+++ b/src/bin/simulator-adapter/events.rs
@@ -82,13 +82,13 @@
 }
 
 fn attempt_ended(message: &Message) -> Result<Event, ProtocolError> {
-    let [_, request, attempt, backend, outcome, latency, answered, _] = message.fields();
+    let [_, request, attempt, backend, outcome, latency, final_response_sent, _] = message.fields();
     backend.string("a backend address")?;
     Ok(Event::AttemptEnded(AttemptResult {
         request: request.request()?,
         attempt: attempt.attempt()?,
         outcome: outcome.outcome()?,
         latency: latency.micros("a latency in microseconds")?,
-        answered: answered.boolean("true or false")?,
+        final_response_sent: final_response_sent.boolean("true or false")?,
     }))
 }
--- a/src/event.rs
+++ b/src/event.rs
@@ -78,7 +78,7 @@
     /// Time from the dispatch to the end of the attempt.
     pub latency: Micros,
     /// The host has sent the client its final response: the request is no longer pending.
-    pub answered: bool,
+    pub final_response_sent: bool,
 }
 
 /// How an attempt ended.
--- a/tests/balancer/support/host.rs
+++ b/tests/balancer/support/host.rs
@@ -196,7 +196,7 @@
             attempt,
             outcome,
             latency,
-            answered: false,
+            final_response_sent: false,
         }));
     }
 
@@ -211,9 +211,15 @@
         if outcome == Outcome::Success && request.outcome.is_none() {
             request.outcome = Some(RequestOutcome::Served);
         }
-        let answered = request.outcome.is_some();
+        let final_response_sent = request.outcome.is_some();
         let attempt = AttemptNumber(number as u32);
-        self.handle(Event::AttemptEnded(AttemptResult { request: id, attempt, outcome, latency, answered }));
+        self.handle(Event::AttemptEnded(AttemptResult {
+            request: id,
+            attempt,
+            outcome,
+            latency,
+            final_response_sent,
+        }));
     }
 
     /// Starts to stream the response to an attempt; does nothing if the attempt is not in flight or the
