--- a/src/backend.rs
+++ b/src/backend.rs
@@ -18,7 +18,7 @@
     /// When its process started; `None` for a process that started long ago and needs no slow start.
     pub started_at: Option<Time>,
     /// The list's weight for the backend, comparable only within a kind. Used only where
-    /// [`Config::live_weights`](crate::Config::live_weights) is set.
+    /// [`Config::weights_report_load`](crate::Config::weights_report_load) is set.
     pub weight: f64,
 }
 
--- a/src/balancer/share_update.rs
+++ b/src/balancer/share_update.rs
@@ -84,7 +84,7 @@
 /// weight, so that slow backends can drain their requests. A lightly loaded backend gets no more than its
 /// share: all proxies see the same delayed reports and would all send to the least loaded backend.
 fn reported_load_factor(config: &Config, endpoint: &Backend, idle_weight: f64) -> f64 {
-    if !config.live_weights {
+    if !config.weights_report_load {
         return 1.0;
     }
     let relative_weight = endpoint.weight / idle_weight.max(MIN_WEIGHT);
--- a/src/config.rs
+++ b/src/config.rs
@@ -29,7 +29,7 @@
     pub discovery: DiscoveryMode,
     /// Whether the list's weights report load: nominal size / (1 + requests in flight per core), with a
     /// delay.
-    pub live_weights: bool,
+    pub weights_report_load: bool,
     /// Maximum number of attempts per request, the first included; at least 1.
     pub max_attempts: u32,
     /// Whether attempts may be cancelled.
@@ -70,7 +70,7 @@
             worst_class_goal_weight: 0.0,
             cross_zone_cost: 0.0,
             discovery: DiscoveryMode::Push,
-            live_weights: false,
+            weights_report_load: false,
             max_attempts: 3,
             can_cancel: true,
             hedging_allowed: true,
--- a/src/wire/settings.rs
+++ b/src/wire/settings.rs
@@ -46,7 +46,7 @@
             cross_zone_cost: settings.object("costs").optional("cross_zone")?.unwrap_or(0.0),
             discovery,
             // Any other value, or none, means that the weights do not reflect the load of the backends.
-            live_weights: matches!(settings.required("weight_source"), Ok("live")),
+            weights_report_load: matches!(settings.required("weight_source"), Ok("live")),
             max_attempts: limits.required("max_attempts")?,
             can_cancel: limits.required("cancel")?,
             hedging_allowed: limits.required("parallel_tries")?,
--- a/tests/balancer/invariants.rs
+++ b/tests/balancer/invariants.rs
@@ -82,7 +82,7 @@
     config.tenants = vec![Tenant { quota_per_second: 20.0 }, Tenant { quota_per_second: 5.0 }];
     config.worst_class_goal_weight = 0.3;
     config.hedging_allowed = bits & 1 == 0;
-    config.live_weights = bits & 2 == 0;
+    config.weights_report_load = bits & 2 == 0;
     config.proxy_count = if bits & 1 == 0 { 3 } else { 400 };
     config.can_cancel = bits & 4 == 0;
     config.cross_zone_cost = if bits & 16 == 0 { 0.05 } else { 0.0 };
--- a/tests/balancer/selection.rs
+++ b/tests/balancer/selection.rs
@@ -14,11 +14,11 @@
     }
 }
 
-/// Guards against traffic to a backend whose live weight reports it as overloaded.
+/// Guards against traffic to a backend that its weight in the endpoint list reports as overloaded.
 #[test]
 fn live_weights_reduce_traffic_to_a_loaded_backend() {
-    let count = |live_weights: bool| {
-        let mut host = host(Config { live_weights, ..Config::example() }, backends(4));
+    let count = |weights_report_load: bool| {
+        let mut host = host(Config { weights_report_load, ..Config::example() }, backends(4));
         serve(&mut host, 20, 0, |_| 10_000);
         host.update_endpoints(EndpointListUpdate::Delta, vec![Backend { weight: 0.05, ..backend(0, 0, 0) }]);
         host.advance(1_000_000);
@@ -27,7 +27,7 @@
     assert!(count(true) <= 10, "{} of 200 requests went to the overloaded backend", count(true));
     assert!(
         count(false) >= 30,
-        "{} of 200 requests went to the backend where weights are not live",
+        "{} of 200 requests went to the backend where weights do not report load",
         count(false)
     );
 }
--- a/tests/balancer/slow_start.rs
+++ b/tests/balancer/slow_start.rs
@@ -57,13 +57,14 @@
     );
 }
 
-/// Guards against a warming backend that is preferred because the live weights of all warm backends are low.
+/// Guards against a warming backend that is preferred because the list reports low weights for all warm
+/// backends.
 #[test]
 fn an_idle_warming_backend_among_loaded_ones_is_not_preferred() {
     let duration = Micros(1_000_000_000);
     let config = Config {
         proxy_count: 126,
-        live_weights: true,
+        weights_report_load: true,
         slow_start_initial_fraction: 0.1,
         slow_start_duration: duration,
         ..Config::example()
