--- a/tests/balancer/fleet.rs
+++ b/tests/balancer/fleet.rs
@@ -246,7 +246,7 @@
 
 /// Guards against a fleet that overloads a warming backend because all other backends are at their limits.
 #[test]
-fn no_fleet_size_overloads_a_warming_backend() {
+fn a_restarted_backend_is_not_overloaded_while_others_are_full() {
     // 60 backends that serve 50 requests per second each receive 2,000 per second in total, and 4,000 per
     // second, more than they can serve, after backend 7 has restarted.
     for proxies in [12, 100, 400, 1000] {
