--- a/scale/src/runner.rs
+++ b/scale/src/runner.rs
@@ -12,7 +12,7 @@
 use tokio::signal::unix::{signal, Signal, SignalKind};
 use tokio::task::LocalSet;
 
-/// Path that stands for standard output as the target of the JSON lines.
+/// Path that selects standard output as the target of the JSON lines.
 const STANDARD_OUTPUT: &str = "-";
 
 /// Outcome of the checks of a plan.
--- a/src/bin/load-balancer-proxy/server/client_connection.rs
+++ b/src/bin/load-balancer-proxy/server/client_connection.rs
@@ -101,7 +101,7 @@
     /// Wakes the request handler that reads a body when the request has to be answered with 408.
     pub request_timed_out: Notify,
     /// Wakes the connection's task when the connection becomes idle, so that it computes the close deadline
-    /// anew.
+    /// again.
     pub became_idle: Notify,
 }
 
--- a/src/wire/error.rs
+++ b/src/wire/error.rs
@@ -44,7 +44,7 @@
 }
 
 impl WireFault {
-    /// Returns the fault for a key whose value is not `expected`; `None` stands for a missing key.
+    /// Returns the fault for a key whose value is not `expected`; `None` means that the key is missing.
     pub fn new(value: Option<&Value>, expected: &'static str) -> WireFault {
         match value {
             Some(value) => WireFault::Unexpected { expected, got: truncated(value) },
