--- a/src/balancer/admission.rs
+++ b/src/balancer/admission.rs
@@ -1,6 +1,6 @@
 //! Admission control: sheds the requests of lowest priority when the backends cannot serve all traffic in
-//! time. The admitted fraction rises with each prompt response and falls with each slow one; a response is
-//! slow from [`slow_threshold`] on.
+//! time. The admitted fraction rises with each prompt response and falls with each slow one. A response is
+//! slow if its latency reaches the [`slow_threshold`].
 
 use super::classes::{ClassTable, MEAN_WINDOW};
 use super::concurrency_limit::IN_FLIGHT_PER_BACKEND;
@@ -84,6 +84,8 @@
         random.unit() * band.load < self.admitted_fraction - band.higher_load
     }
 
+    /// The priority band of a request. Low-priority requests of all classes form the lowest band. Above it,
+    /// each class has its own band, in the order of the class priorities.
     fn priority_band(
         &self, config: &Config, classes: &ClassTable, class: ClassId, relative_value: f64,
     ) -> PriorityBand {
@@ -103,7 +105,7 @@
     }
 }
 
-/// Requests of one priority. Loads are fractions of the whole load.
+/// Requests that are admitted with the same probability. Loads are fractions of the whole load.
 struct PriorityBand {
     /// Load of higher priority.
     higher_load: f64,
@@ -112,7 +114,7 @@
 }
 
 /// Value of a request relative to an original request within quota, from 0 to 1. A client retry is worth
-/// its class's late weight fraction, at least [`MIN_RETRY_VALUE`]: its client has already waited, and serving
+/// its class's late weight fraction, at least [`MIN_RETRY_VALUE`]. Its client has already waited, and serving
 /// it ahead of a new request would make both late.
 pub(super) fn relative_value(
     config: &Config, late_weight_fraction: f64, is_client_retry: bool, over_quota: bool,
@@ -122,7 +124,8 @@
     retry_value * quota_value
 }
 
-/// Latency from which a response counts as slow, if an unloaded backend takes `unloaded_secs`.
+/// Latency from which a response counts as slow: `unloaded_secs`, the latency at an unloaded backend, plus
+/// [`SLOW_THRESHOLD_FRACTION`] of the time from there to the latency objective.
 pub(super) fn slow_threshold(objective: Micros, unloaded_secs: f64) -> Micros {
     let slack_secs = (objective.secs() - unloaded_secs).max(0.0);
     Micros::from_secs(unloaded_secs + slack_secs * SLOW_THRESHOLD_FRACTION)
--- a/src/balancer/concurrency_limit.rs
+++ b/src/balancer/concurrency_limit.rs
@@ -36,9 +36,10 @@
         self.min_round_trip_secs = Some(min_secs);
     }
 
-    /// Attempts that all proxies together may have in flight at the backend. This is `readiness` times the
-    /// sum of `IN_FLIGHT_PER_BACKEND / 2` at the backend itself and (round trip - work) / work on the
-    /// network, where the sum is at least `IN_FLIGHT_PER_BACKEND`.
+    /// Attempts that all proxies together may have in flight at the backend.
+    ///
+    /// Half of `IN_FLIGHT_PER_BACKEND` are allowed at the backend itself, and (round trip - work) / work on
+    /// the network. The sum is raised to at least `IN_FLIGHT_PER_BACKEND` and multiplied by `readiness`.
     pub fn fleet_limit(&self, readiness: f64, expected_work_secs: Option<f64>) -> f64 {
         let on_network = match (self.min_round_trip_secs, expected_work_secs) {
             (Some(round_trip), Some(work)) => (round_trip - work) / work.max(MIN_WORK_SECS),
@@ -47,10 +48,12 @@
         (IN_FLIGHT_PER_BACKEND / 2.0 + on_network).max(IN_FLIGHT_PER_BACKEND) * readiness
     }
 
-    /// Sets this proxy's part of the fleet limit, at least one attempt. Adding the proxy's rotation slot,
-    /// from 0 to 1, before rounding down keeps the sum over all proxies at the fleet limit, as long as each
-    /// part is at least one attempt. Smaller parts are rounded up to one, and [`ProxyLimit`] bounds their
-    /// sum.
+    /// Sets this proxy's part of the fleet limit: `equal_share`, partly scaled by zone preference, and
+    /// rounded to a whole number of attempts.
+    ///
+    /// `rotation_slot` decides whether the proxy rounds up or down. The slots of the proxies are evenly
+    /// spaced from 0 to 1, so that the sum over all proxies stays at the fleet limit. A part below one
+    /// attempt is always raised to one; [`ProxyLimit`] then limits the attempts at all backends together.
     pub fn set_own_limit(&mut self, equal_share: f64, zone_factor: f64, rotation_slot: f64) {
         let zone_scale = 1.0 - ZONE_PREFERENCE_FRACTION + ZONE_PREFERENCE_FRACTION * zone_factor;
         self.own_limit = (equal_share * zone_scale + rotation_slot).floor().max(1.0);
@@ -73,8 +76,8 @@
 }
 
 impl ProxyLimit {
-    /// Sets the limit to this proxy's mean part of `fleet_limit`, the sum of the fleet limits of all
-    /// backends, plus an allowance for random variation.
+    /// Sets the limit from `fleet_limit`, the sum of the fleet limits of all backends. This proxy's limit is
+    /// an equal part of it plus an allowance for random variation.
     pub fn update(&mut self, fleet_limit: f64, proxy_count: f64) {
         let mean = fleet_limit / proxy_count;
         self.limit = mean + PROXY_LIMIT_DEVIATIONS * mean.sqrt() + 1.0;
--- a/src/balancer/deadlines.rs
+++ b/src/balancer/deadlines.rs
@@ -1,4 +1,4 @@
-//! Deadline checks of pending requests. A request is given up once it can no longer be answered in time or
+//! Deadline checks of pending requests. A request is given up once it can no longer be served in time or
 //! its attempt is presumed lost. It is hedged, or its attempt cancelled for a retry, when the backend is
 //! unresponsive and a response in time is still possible.
 
@@ -53,10 +53,10 @@
     let give_up_at = lost_at.map_or(final_response_due, |at| at.min(final_response_due));
     let is_in_flight = request.is_in_flight();
     let regular_check_at = if is_in_flight { request.deadline } else { next_queued_check(config, now) };
-    // A request that another attempt would serve too late is given up early: the attempt could rule out a
-    // rejection.
-    let would_be_too_late = !is_in_flight && now + typical >= useful_until;
-    let decision = if now >= give_up_at || would_be_too_late {
+    // If a new attempt would end too late, the request is given up without it: after an attempt, a rejection
+    // may no longer be safe.
+    let next_attempt_too_late = !is_in_flight && now + typical >= useful_until;
+    let decision = if now >= give_up_at || next_attempt_too_late {
         Decision::GiveUp
     } else {
         let unresponsive =
@@ -67,7 +67,7 @@
 }
 
 /// Time until which a response is useful to the client. A response after the latency objective is useful only
-/// if the class gives it weight and the request was dispatched before: no capacity is spent on a request that
+/// if the class gives it weight and an attempt was dispatched already. No capacity is spent on a request that
 /// would be late from the start.
 fn response_useful_until(request: &Request) -> Time {
     let late_response_counts = request.class_config.late_weight_fraction > 0.0 && !request.is_unsent();
--- a/src/balancer/fleet.rs
+++ b/src/balancer/fleet.rs
@@ -44,7 +44,6 @@
         self.in_flight
     }
 
-    /// Records the dispatch of an attempt.
     pub fn attempt_started(&mut self) {
         self.in_flight += 1;
     }
@@ -95,7 +94,6 @@
 }
 
 impl Fleet {
-    /// The kind of a backend.
     pub fn kind_of(&self, backend: &TrackedBackend) -> Option<&TrackedKind> {
         self.kinds.get(&backend.endpoint.kind)
     }
--- a/src/balancer/priority.rs
+++ b/src/balancer/priority.rs
@@ -1,8 +1,8 @@
 //! Request priorities, by contribution to the operator's goal per unit of work. The goal combines
 //! the result of all traffic with that of the class with the lowest on-time fraction.
 //!
-//! The priority of a queued request is that of its class times the request's relative value, which is 1 for
-//! an original request within quota and less for a client retry or a request over quota.
+//! The priority of a queued request is that of its class times the request's relative value. That value is 1
+//! for an original request within quota, and less for a client retry or a request over quota.
 
 use super::classes::{ClassTable, TrackedClass};
 use crate::config::Config;
--- a/src/balancer/request.rs
+++ b/src/balancer/request.rs
@@ -48,7 +48,6 @@
         AttemptNumber(self.attempts.len() as u32)
     }
 
-    /// Records the end of an attempt.
     pub fn attempt_ended(&mut self, number: AttemptNumber, never_executed: bool) {
         if let Some(attempt) = self.attempts.get_mut(number.0 as usize) {
             attempt.in_flight = false;
@@ -65,7 +64,6 @@
     }
 }
 
-/// Identifies an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct AttemptId {
     pub request: RequestId,
--- a/src/balancer/request_queue.rs
+++ b/src/balancer/request_queue.rs
@@ -1,5 +1,5 @@
-//! The queue of admitted requests that wait for dispatch: highest priority first, and within one priority the
-//! newest first, as the oldest is the most likely to miss its deadline anyway.
+//! The queue of admitted requests that wait for dispatch: highest priority first. Within one priority the
+//! newest is first, as the oldest is the most likely to miss its deadline anyway.
 
 use super::priority::is_low_priority;
 use super::request::Request;
@@ -14,14 +14,16 @@
     is_low_priority: bool,
 }
 
-/// Which first attempts found no capacity since the last event that could free some. They are skipped until
-/// the next such event, which saves CPU time when the queue is long. Retries are not blocked themselves, but
-/// with `Everything` later passes over the queue are skipped, retries included.
+/// Which queued requests are skipped until the next event that may free capacity, because a first attempt
+/// found none. This saves CPU time when the queue is long.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 enum Blocked {
     #[default]
     Nothing,
+    /// First attempts of low priority; retries are still dispatched.
     LowPriority,
+    /// The remaining first attempts of the current pass over the queue, and all later passes, retries
+    /// included.
     Everything,
 }
 
@@ -61,13 +63,13 @@
         self.waiting.is_empty() || self.blocked == Blocked::Everything
     }
 
-    /// Called when a first attempt of that priority found no capacity.
+    /// Records that a first attempt of that priority found no capacity.
     pub fn block(&mut self, is_low_priority: bool) {
         let blocked = if is_low_priority { Blocked::LowPriority } else { Blocked::Everything };
         self.blocked = self.blocked.max(blocked);
     }
 
-    /// Whether a request is known to find no capacity.
+    /// Whether a request is skipped in the current pass over the queue.
     pub fn is_blocked(&self, queued: &QueuedRequest) -> bool {
         match self.blocked {
             Blocked::Nothing => false,
--- a/src/balancer/rotation.rs
+++ b/src/balancer/rotation.rs
@@ -2,7 +2,7 @@
 //! its index and the time.
 //!
 //! Each proxy advances by one slot per period of its host's clock. If the clocks share one origin (Unix time
-//! in the proxy), no two proxies have the same slot for a backend at any time; otherwise each proxy still has
+//! in the proxy), no two proxies have the same slot for a backend at any time. Otherwise each proxy still has
 //! every slot equally often.
 
 use crate::config::Config;
--- a/src/balancer/service_rate_estimation.rs
+++ b/src/balancer/service_rate_estimation.rs
@@ -19,10 +19,12 @@
 /// Number of samples from which on the service rate is smoothed. Also the weight of the latency prior, in
 /// samples.
 const MIN_SAMPLES: f64 = 10.0;
-/// Prior of the unloaded latency, as a fraction of the shortest latency objective.
+/// Prior of the unloaded latency, as a fraction of the shortest latency objective. Deliberately high: an
+/// estimate that is too high falls with the first samples, one that is too low would take long to rise.
 const UNLOADED_PRIOR_FRACTION: f64 = 0.5;
-/// Rate at which the lowest recent latencies rise towards the mean latency, as a fraction per second.
-const UNLOADED_RISE_PER_SECOND: f64 = 0.03;
+/// Fraction per second by which the lowest recent latencies rise, up to the current mean latency. Old
+/// minima are forgotten in this way.
+const MIN_LATENCY_RISE_PER_SECOND: f64 = 0.03;
 /// Minimum mean readiness of a kind's listed backends for their arrival rate to indicate what a ready backend
 /// can handle.
 const REPRESENTATIVE_FRACTION: f64 = 0.8;
@@ -39,10 +41,10 @@
     /// to zero as long as there is no sample; [`update_service_rates`] then replaces it with the mean of the
     /// other kinds.
     service_rate: f64,
-    /// Latency of an unloaded backend: the lowest recent mean, in seconds. It starts at the prior: an
-    /// estimate that is too high falls with the first samples, one that is too low would take long to rise.
+    /// Latency of an unloaded backend, in seconds: the lowest recent mean, where the mean includes the prior.
+    /// Equal to the prior until there are samples; `None` before the first update.
     unloaded_secs: Option<f64>,
-    /// The same without the prior; `None` before the first sample.
+    /// Lowest recent mean latency of the samples alone, in seconds; `None` before the first sample.
     min_latency_secs: Option<f64>,
 }
 
@@ -71,8 +73,8 @@
         self.unloaded_secs
     }
 
-    /// Requests per second that a backend of the kind is known to handle: the smoothed arrival rate, but at
-    /// least the rate of serving one request at a time. `None` before the first sample.
+    /// Requests per second that a backend of the kind is known to handle; `None` before the first sample.
+    /// This is the smoothed arrival rate, but at least the rate of serving one request at a time.
     pub fn observed_rate(&self) -> Option<f64> {
         self.min_latency_secs.map(|secs| self.smoothed_arrival_rate.max(1.0 / secs))
     }
@@ -98,7 +100,7 @@
     }
 
     fn update_latencies(&mut self, elapsed_secs: f64, prior_secs: f64) {
-        let rise = 1.0 + UNLOADED_RISE_PER_SECOND * elapsed_secs;
+        let rise = 1.0 + MIN_LATENCY_RISE_PER_SECOND * elapsed_secs;
         let risen = self.unloaded_secs.map_or(prior_secs, |secs| secs * rise);
         self.unloaded_secs = Some(self.latency.shrunk_towards(prior_secs, MIN_SAMPLES).min(risen));
         let risen = self.min_latency_secs.map_or(f64::MAX, |secs| secs * rise);
--- a/src/balancer/share_update.rs
+++ b/src/balancer/share_update.rs
@@ -1,5 +1,5 @@
 //! The periodic update of the readiness and traffic share of every backend, from the outcomes and list
-//! updates since the last one.
+//! updates since the previous update.
 
 use super::concurrency_limit::IN_FLIGHT_PER_BACKEND;
 use super::halb::{halb_shares, KindCapacity};
@@ -80,9 +80,9 @@
 /// weights do not report load.
 ///
 /// With k requests in flight per core, the list reports 1 / (1 + k) of the weight of an idle backend. Up to
-/// `IN_FLIGHT_PER_BACKEND / 2` requests per core the factor is 1; above that it falls with the square of the
-/// weight, so that slow backends can drain their requests. A lightly loaded backend gets no more than its
-/// share: all proxies see the same delayed reports and would all send to the least loaded backend.
+/// `IN_FLIGHT_PER_BACKEND / 2` requests per core the factor is 1. Above that it falls with the square of the
+/// weight, so that slow backends can drain their requests. The factor does not favour lightly loaded
+/// backends: all proxies see the same delayed reports and would all send to the least loaded one.
 fn reported_load_factor(config: &Config, endpoint: &Backend, idle_weight: f64) -> f64 {
     if !config.weights_report_load {
         return 1.0;
--- a/src/balancer/slow_start.rs
+++ b/src/balancer/slow_start.rs
@@ -4,8 +4,8 @@
 //! The limit of a warming backend is a number of requests of mean work that all proxies together may send it
 //! within `overload_window`. It is computed from the backend's age, its kind's observed rate in requests per
 //! second, and `overload_multiple`. Each proxy bounds the backend's share of its traffic, so that the mean of
-//! all proxies stays some standard deviations under the limit, and counts the requests that it sends against
-//! its own fraction of the limit.
+//! all proxies stays some standard deviations under the limit. It also counts the requests that it sends
+//! against its own fraction of the limit.
 
 use super::fleet::{Fleet, TrackedBackend};
 use super::rotation::Rotation;
@@ -16,8 +16,8 @@
 /// Fraction of `slow_start_duration` that a backend likely needs: the configured duration is the maximum over
 /// all kinds.
 pub(super) const LIKELY_DURATION_FRACTION: f64 = 0.7;
-/// The platform allows for random variation of the arrivals: a warming backend that sustains n requests in an
-/// overload window tolerates n + 2 x sqrt(n) + 2, where sqrt(n) is the standard deviation of a Poisson count.
+/// The platform allows for random variation of the arrivals. A warming backend that sustains n requests in an
+/// overload window tolerates n + 2 x sqrt(n) + 2; sqrt(n) is the standard deviation of a Poisson count.
 const ALLOWED_DEVIATIONS: f64 = 2.0;
 /// The constant term of the formula at [`ALLOWED_DEVIATIONS`].
 const ALLOWED_EXTRA_REQUESTS: f64 = 2.0;
@@ -116,6 +116,7 @@
         if limit == f64::INFINITY {
             return true;
         }
+        // Requests of this work that this proxy may send within an overload window.
         let own_requests = limit * SHARED_FRACTION / backend.coverage.proxy_count().max(1.0) / relative_work;
         if own_requests < 1.0 {
             self.admits_one_in_several_windows(backend, own_requests)
@@ -124,12 +125,12 @@
         }
     }
 
-    /// Admits one request per interval of several windows, for a proxy whose fraction of the limit is less
-    /// than one request. The first requests of the proxies are spread over the first interval after the
-    /// backend's start.
+    /// Admits one request per interval, for a proxy whose fraction of the limit is less than one request per
+    /// window. The interval is the overload window divided by `own_requests`. The proxies' first requests are
+    /// spread over the first interval after the backend's start.
     fn admits_one_in_several_windows(&self, backend: &TrackedBackend, own_requests: f64) -> bool {
         let interval = self.config.overload_window.times(1.0 / own_requests);
-        // The slot at a fixed time: the rotation must not advance here.
+        // The slot at time 0, as the proxy's offset within the interval must not change.
         let slot = Rotation::new(self.config, interval).slot(backend.endpoint.id, Time(0));
         let first = interval.times(slot);
         let interval_passed =
@@ -137,9 +138,10 @@
         interval_passed && backend.endpoint.started_at.is_none_or(|start| self.now >= start + first)
     }
 
-    /// Admits the integer part of `own_requests` in each window at every proxy. The fractional part f rotates
-    /// among the proxies: any window overlaps two periods of the rotation, so that in each period f / 2 of
-    /// the proxies may send one request more.
+    /// Admits the integer part of `own_requests` in each window at every proxy, and one more request at some
+    /// proxies. With the fractional part f, a fraction f of the proxies may send one more in any window. The
+    /// proxies that may do so rotate, with a period of one window. Since a window can overlap two periods,
+    /// each period allows it to a fraction f / 2 of the proxies.
     fn admits_in_window(&self, backend: &TrackedBackend, own_requests: f64, relative_work: f64) -> bool {
         let window = self.config.overload_window;
         let slot = Rotation::new(self.config, window).slot(backend.endpoint.id, self.now);
--- a/src/balancer/subset.rs
+++ b/src/balancer/subset.rs
@@ -3,7 +3,7 @@
 //!
 //! The backends of a kind form a ring of length 1, on which each has an arc in proportion to its warm
 //! fraction. A proxy's subset is an arc of the ring too: the backends that it overlaps, each by the
-//! overlapped fraction. Start and width of the arc are fractions of the ring, computed from the endpoint
+//! overlapped fraction. Start and width of the arc are fractions of the ring. They depend on the endpoint
 //! list, the proxy index and the proxy count alone, so that the subsets of all proxies fit together without
 //! communication.
 //!
@@ -22,11 +22,11 @@
 /// Minimum number of proxies that use one backend in a very large fleet: with fewer, the load of the backends
 /// is uneven.
 const MIN_PROXIES_PER_BACKEND: f64 = 5.0;
-/// Number of proxies up to which [`PROXIES_PER_BACKEND`] is not reduced, whatever the number of connections:
-/// with fewer proxies on a warming backend, each one's fraction of its limit would be too large.
+/// Number of proxies up to which [`PROXIES_PER_BACKEND`] is not reduced, whatever the number of connections.
+/// With fewer proxies on a warming backend, each one's fraction of its limit would be too large.
 const MAX_UNREDUCED_PROXIES: f64 = 100.0;
-/// Target maximum of backends of a kind in a subset, as long as enough proxies use each backend: each needs a
-/// connection, and another one when it is replaced or the subset changes.
+/// Target maximum of backends of a kind in a subset, as long as enough proxies use each backend. Each backend
+/// needs a connection, and another one when it is replaced or the subset changes.
 const MAX_BACKENDS_PER_KIND: f64 = 10.0;
 /// Minimum number of backends of a kind in a subset: one may be an outlier and another busy.
 const MIN_BACKENDS_PER_KIND: f64 = 3.0;
@@ -36,7 +36,8 @@
 /// Lower bound of the divisors, against division by zero.
 const EPSILON: f64 = 1e-12;
 
-/// How the subsets of all proxies cover a backend.
+/// How the subsets of all proxies cover a backend. `total_fraction` and `proxy_count` are means over the
+/// ring, unless [`update_coverage`] counts them exactly.
 #[derive(Default)]
 pub(super) struct SubsetCoverage {
     own_fraction: f64,
@@ -88,8 +89,8 @@
         self.width
     }
 
-    /// Factor by which a covered backend receives more of this proxy's traffic than it would if the proxy
-    /// used every backend of the kind.
+    /// The kind's total readiness divided by the readiness inside the subset. The traffic shares of the
+    /// covered backends are multiplied by it, so that the kind keeps its share of this proxy's traffic.
     pub fn share_multiplier(&self) -> f64 {
         self.share_multiplier
     }
@@ -114,8 +115,8 @@
         (covered / (self.end - self.start).max(EPSILON)).min(1.0)
     }
 
-    /// The exact coverage of the arc, from the subset of every proxy.
-    fn coverage(self, own_fraction: f64, width: f64, proxy_count: u32) -> SubsetCoverage {
+    /// The coverage of the arc, counted over the subsets of all proxies.
+    fn exact_coverage(self, own_fraction: f64, width: f64, proxy_count: u32) -> SubsetCoverage {
         let mut coverage = SubsetCoverage { own_fraction, total_fraction: 0.0, proxy_count: 0.0 };
         for proxy_index in 0..proxy_count {
             let fraction = self.fraction_inside(subset_start(proxy_index), width);
@@ -139,9 +140,11 @@
     backend: &'a mut TrackedBackend,
 }
 
-/// The size of the subsets of one kind, equal for all proxies. The number of proxies per backend falls from 8
-/// towards 5 as the fleet grows past 100 proxies, but only as far as [`MAX_BACKENDS_PER_KIND`] requires. No
-/// subset has fewer than [`MIN_BACKENDS_PER_KIND`] backends.
+/// The size of the subsets of one kind, equal for all proxies.
+///
+/// Up to 100 proxies, `proxies_per_backend` is 8. In a larger fleet it falls towards 5 if subsets would
+/// otherwise have more than [`MAX_BACKENDS_PER_KIND`] backends. A subset is at least as wide as
+/// [`MIN_BACKENDS_PER_KIND`] arcs of mean length, or contains the whole ring.
 struct SubsetSize {
     proxies_per_backend: f64,
     /// Fraction of the ring in each subset.
@@ -218,9 +221,9 @@
         let mut coverage =
             SubsetCoverage { own_fraction, total_fraction: mean_proxies, proxy_count: mean_proxies };
         if size.is_reduced() && own_fraction > 0.0 && member.length < 1.0 {
-            // The limit of a warming backend is divided among the proxies that use it, so their exact number
-            // matters.
-            let exact = arc.coverage(own_fraction, size.width, config.proxy_count);
+            // The limit of a warming backend is divided among the proxies that use it. If more proxies use
+            // it than the mean number, a division by the mean would let them exceed the limit.
+            let exact = arc.exact_coverage(own_fraction, size.width, config.proxy_count);
             coverage.total_fraction = coverage.total_fraction.max(exact.total_fraction);
             coverage.proxy_count = coverage.proxy_count.max(exact.proxy_count);
         }
--- a/src/balancer/traffic_allocation.rs
+++ b/src/balancer/traffic_allocation.rs
@@ -116,9 +116,10 @@
 }
 
 /// The fraction of this proxy's traffic that a backend receives: its fair share, scaled by zone preference,
-/// by the covered fraction and by the subset's share multiplier. It is at most this proxy's portion of what
-/// slow start allows all proxies, which is divided in proportion to how much of the backend each subset
-/// covers.
+/// by the covered fraction and by the subset's share multiplier.
+///
+/// It is at most this proxy's part of the slow start limit on the traffic of all proxies. The limit is
+/// divided among the proxies in proportion to the fraction of the backend that the subset of each covers.
 fn traffic_share(
     backend: &TrackedBackend, kind: &TrackedKind, zone_factor: f64, proxy_count: f64,
     inputs: &AllocationInputs,
@@ -128,5 +129,6 @@
     let target = target + backend.readiness * MIN_TRAFFIC_SHARE;
     let own_fraction = coverage.own_fraction().max(MIN_COVERAGE);
     let total_fraction = coverage.total_fraction().max(MIN_COVERAGE);
+    // The proxy count converts a fraction of the traffic of all proxies to one of this proxy's traffic.
     target.min(inputs.max_fleet_share * own_fraction * proxy_count / total_fraction)
 }
--- a/src/config.rs
+++ b/src/config.rs
@@ -20,10 +20,10 @@
     pub over_quota_weight: f64,
     /// Weight of the whole traffic in the operator's goal, from 0 to 1.
     pub overall_goal_weight: f64,
-    /// Weight of the class that is served worst in the operator's goal, from 0 to 1.
+    /// Weight in the operator's goal of the class that is served worst, from 0 to 1.
     pub worst_class_goal_weight: f64,
-    /// Cost to the operator's goal if every request crosses zones once. Only used to tell whether it is above
-    /// 0, which turns on zone preference.
+    /// Cost to the operator's goal if every request crosses zones once. Any value above 0 turns on zone
+    /// preference; its size has no effect.
     pub cross_zone_cost: f64,
     /// How the endpoint list reaches the balancer.
     pub discovery: DiscoveryMode,
--- a/src/event.rs
+++ b/src/event.rs
@@ -31,13 +31,13 @@
     },
     /// An attempt ended.
     AttemptEnded(AttemptResult),
-    /// The client disconnected, or the host answered the request without the balancer: the request is no
-    /// longer pending.
+    /// The client disconnected, or the host sent the final response without the balancer: the request is
+    /// no longer pending.
     ClientDisconnected {
         /// The request.
         request: RequestId,
     },
-    /// The host shuts down: every pending request must be answered by the deadline.
+    /// The host shuts down: every pending request must get its final response by the deadline.
     ShutdownStarted {
         /// Upper bound on the deadlines of the requests that are pending now.
         deadline: Time,
