--- a/src/balancer/deadlines.rs
+++ b/src/balancer/deadlines.rs
@@ -9,8 +9,8 @@
 
 /// Interval between checks of a queued request, in ticks.
 const QUEUED_CHECK_TICKS: f64 = 4.0;
-/// Multiple of the typical latency after which an attempt is presumed lost with its connection, if a response
-/// is no longer useful and its backend has responded to others since.
+/// Multiple of the typical latency after which an attempt can be presumed lost with its connection; see
+/// [`attempt_presumed_lost_at`].
 const LOST_LATENCY_MULTIPLE: f64 = 12.0;
 
 /// The result of checking a request.
@@ -78,8 +78,9 @@
     }
 }
 
-/// When the newest attempt is presumed lost; `None` if there is none, or its backend is no longer known or
-/// has not responded to anything since.
+/// When the newest attempt is presumed lost: it has lasted [`LOST_LATENCY_MULTIPLE`] times the typical
+/// latency, and a response is no longer useful. `None` if there is no attempt, or its backend is no longer
+/// known or has not responded to anything since.
 fn attempt_presumed_lost_at(
     fleet: &Fleet, request: &Request, useful_until: Time, typical: Micros,
 ) -> Option<Time> {
--- a/src/balancer/fleet.rs
+++ b/src/balancer/fleet.rs
@@ -99,7 +99,7 @@
     }
 
     /// Fraction of the traffic of all proxies that a backend receives before subsets, zone preference and
-    /// slow start are applied: its kind's HALB share, divided in proportion to readiness.
+    /// slow start are applied. The HALB share of a kind is divided among its backends by readiness.
     pub fn fair_share(&self, backend: &TrackedBackend) -> f64 {
         let share_within = |kind: &TrackedKind| {
             kind.fleet_share * backend.readiness / kind.total_readiness.max(MIN_READINESS)
--- a/src/balancer/halb.rs
+++ b/src/balancer/halb.rs
@@ -2,8 +2,8 @@
 //! paper "Optimal Load-Balancing for Heterogeneous Clusters".
 //!
 //! Each backend is modelled as an M/G/1 processor-sharing queue. The optimal shares follow in closed form
-//! from the number of backends of each kind, their service rates and the arrival rate of the whole fleet,
-//! both in requests per second. Negative shares are clamped to zero.
+//! from the number of backends of each kind, their service rates and the arrival rate of the whole fleet.
+//! All rates are in requests per second. Negative shares are clamped to zero.
 
 /// The capacity of one kind of backend.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -20,12 +20,12 @@
 /// Returns the share of the traffic for each kind, from 0 to 1, at the given arrival rate in requests per
 /// second over all proxies.
 ///
-/// With the arrival rate r, a kind of n backends with the service rate s receives n s - n sqrt(s) (S - r) / R
-/// requests per second, where S is the sum of n s and R the sum of n sqrt(s) over all kinds. A kind for which
-/// this is negative gets no traffic, and the formula is solved again for the other kinds, at most once per
-/// kind. At a negligible arrival rate the kind with the highest service rate gets all traffic. Without an
-/// arrival rate the shares are in proportion to the numbers of backends. All shares are zero if no backend is
-/// usable.
+/// With the arrival rate r, a kind of n backends with the service rate s receives n s - n sqrt(s) (S - r) /
+/// R requests per second. Over all kinds, S is the sum of n s and R the sum of n sqrt(s). A kind for which
+/// the formula is negative gets no traffic. The formula is then solved again for the other kinds, at most
+/// once per kind. At a negligible arrival rate the kind with the highest service rate gets all traffic.
+/// Without an arrival rate the shares are in proportion to the numbers of backends. All shares are zero if
+/// no backend is usable.
 ///
 /// ```
 /// use load_balancer::{halb_shares, KindCapacity};
--- a/src/balancer/reconfiguration.rs
+++ b/src/balancer/reconfiguration.rs
@@ -1,5 +1,5 @@
 //! Replaces the active configuration. The statistics of classes and the quotas of tenants that remain are
-//! kept under their new indices, and pending requests keep the class settings with which they arrived.
+//! kept under their new indices. Pending requests keep the class settings with which they arrived.
 
 use super::classes::TrackedClass;
 use super::{shortest_objective, Balancer};
--- a/src/balancer/slow_start.rs
+++ b/src/balancer/slow_start.rs
@@ -79,8 +79,8 @@
 }
 
 impl SlowStartLimits<'_> {
-    /// Requests of mean work that all proxies together may send to a backend within an overload window, with
-    /// the allowance for random variation; infinite once the backend is warm.
+    /// Requests of mean work that all proxies together may send to a backend within an overload window. It
+    /// includes the allowance for random variation, and is infinite once the backend is warm.
     fn window_limit(&self, backend: &TrackedBackend) -> f64 {
         let config = self.config;
         let warm = warm_fraction(config, self.now, &backend.endpoint, 1.0);
--- a/src/balancer/subset.rs
+++ b/src/balancer/subset.rs
@@ -16,8 +16,8 @@
 use crate::units::{KindId, Time};
 use std::collections::BTreeMap;
 
-/// Number of proxies that use one backend: twice the attempts in flight there, since a proxy keeps its
-/// connection open between attempts, and for some time after its subset has changed.
+/// Number of proxies that use one backend: twice the attempts in flight there. A proxy keeps its connection
+/// open between attempts, and for some time after its subset has changed.
 const PROXIES_PER_BACKEND: f64 = 2.0 * IN_FLIGHT_PER_BACKEND;
 /// Minimum number of proxies that use one backend in a very large fleet: with fewer, the load of the backends
 /// is uneven.
@@ -30,8 +30,8 @@
 const MAX_BACKENDS_PER_KIND: f64 = 10.0;
 /// Minimum number of backends of a kind in a subset: one may be an outlier and another busy.
 const MIN_BACKENDS_PER_KIND: f64 = 3.0;
-/// The arcs of the proxies start at multiples of the golden ratio, modulo 1. Any run of consecutive proxy
-/// indices is then spread evenly over the ring, also while the other proxies are down.
+/// The subsets of the proxies start at multiples of the golden ratio, modulo 1. Any run of consecutive proxy
+/// indices is then spread evenly over the ring, even while the other proxies are down.
 const GOLDEN_RATIO_FRACTION: f64 = 0.618_033_988_749_895;
 /// Lower bound of the divisors, against division by zero.
 const EPSILON: f64 = 1e-12;
