--- a/src/balancer/fleet.rs
+++ b/src/balancer/fleet.rs
@@ -44,7 +44,6 @@
         self.in_flight
     }
 
-    /// Records the dispatch of an attempt.
     pub fn attempt_started(&mut self) {
         self.in_flight += 1;
     }
@@ -95,13 +94,12 @@
 }
 
 impl Fleet {
-    /// The kind of a backend.
     pub fn kind_of(&self, backend: &TrackedBackend) -> Option<&TrackedKind> {
         self.kinds.get(&backend.endpoint.kind)
     }
 
     /// Fraction of the traffic of all proxies that a backend receives before subsets, zone preference and
-    /// slow start are applied: its kind's HALB share, divided in proportion to readiness.
+    /// slow start are applied. The HALB share of a kind is divided among its backends by readiness.
     pub fn fair_share(&self, backend: &TrackedBackend) -> f64 {
         let share_within = |kind: &TrackedKind| {
             kind.fleet_share * backend.readiness / kind.total_readiness.max(MIN_READINESS)
