--- a/src/bin/load-balancer-proxy/config.rs
+++ b/src/bin/load-balancer-proxy/config.rs
@@ -67,12 +67,12 @@
     /// balancer.
     pub max_open_requests: usize,
     /// Time after which a backend closes an idle connection; it may close the connection earlier.
-    pub idle_timeout: Micros,
+    pub backend_idle_timeout: Micros,
     /// A connection to a backend that is not established after this time counts as failed.
     pub connect_timeout: Micros,
     /// No request may be sent to a backend later than this after discovery listed it as draining. The proxy
-    /// stops as soon as it learns of the drain, so the limit only bounds how long a lost call to discovery
-    /// may go unnoticed.
+    /// stops as soon as it learns of the drain; the limit only bounds how long a lost call to discovery may
+    /// go unnoticed.
     pub drain_notice_limit: Micros,
     /// The longest deadline of any class.
     pub longest_deadline: Micros,
@@ -110,7 +110,7 @@
             balancer: document.balancer.config,
             names: document.balancer.names,
             max_open_requests: document.max_open_requests as usize,
-            idle_timeout: document.idle_timeout,
+            backend_idle_timeout: document.idle_timeout,
             connect_timeout: document.connect_timeout,
             drain_notice_limit: drain_notice_limit.clamp(MIN_DRAIN_NOTICE_LIMIT, MAX_DRAIN_NOTICE_LIMIT),
             longest_deadline: document.balancer.longest_deadline,
--- a/src/bin/load-balancer-proxy/dispatcher/actions.rs
+++ b/src/bin/load-balancer-proxy/dispatcher/actions.rs
@@ -34,9 +34,8 @@
         self.requests.mark_if_finished(id);
     }
 
-    /// Starts an attempt. The attempt ends immediately with [`Outcome::NotSent`] if the request has been
-    /// answered in the meantime, its deadline has passed, or the backend has been removed from the endpoint
-    /// list.
+    /// Starts an attempt. The attempt ends immediately with [`Outcome::NotSent`] if the request is answered
+    /// or past its deadline, or if the backend has been removed from the endpoint list.
     pub(super) fn dispatch(&mut self, now: Time, id: RequestId, backend: BackendId, write_by: Option<Time>) {
         let Some(request) = self.requests.get_mut(id) else { return };
         let number = request.next_attempt();
--- a/src/bin/load-balancer-proxy/dispatcher/deadlines.rs
+++ b/src/bin/load-balancer-proxy/dispatcher/deadlines.rs
@@ -1,5 +1,5 @@
-//! Request deadlines. Attempts that are in flight at the deadline time out. A request that the balancer has
-//! not answered shortly after its deadline is failed.
+//! Request deadlines. Attempts that are in flight at the deadline time out. A request without a final
+//! response is then overdue; it is failed if the balancer does not answer it within a grace period.
 
 use super::Dispatcher;
 use crate::messages::FinalResponse;
@@ -19,27 +19,28 @@
 
 /// The deadlines of open requests.
 pub(super) struct Deadlines {
-    pending: BTreeSet<Deadline>,
+    /// Deadlines that have not been handled yet.
+    upcoming: BTreeSet<Deadline>,
     /// Upper limit on all deadlines: the time by which every request is answered during a graceful shutdown,
     /// or [`Time::NEVER`] before.
     latest: Time,
-    /// Unanswered requests past their deadline, ordered by the time until which the balancer may answer them.
+    /// Unanswered requests past their deadline, each with the end of its grace period, ordered by that time.
     overdue: VecDeque<Deadline>,
 }
 
 impl Deadlines {
     /// Creates an empty collection without an upper limit on deadlines.
     pub fn new() -> Deadlines {
-        Deadlines { pending: BTreeSet::new(), latest: Time::NEVER, overdue: VecDeque::new() }
+        Deadlines { upcoming: BTreeSet::new(), latest: Time::NEVER, overdue: VecDeque::new() }
     }
 
-    /// Returns the earliest pending deadline, or [`Time::NEVER`] if there is none.
+    /// Returns the earliest upcoming deadline, or [`Time::NEVER`] if there is none.
     pub fn next(&self) -> Time {
-        self.pending.first().map_or(Time::NEVER, |deadline| deadline.at)
+        self.upcoming.first().map_or(Time::NEVER, |deadline| deadline.at)
     }
 
     /// Returns the time at which the next overdue request is failed, or [`Time::NEVER`] if there is none.
-    pub fn next_overdue(&self) -> Time {
+    pub fn next_grace_end(&self) -> Time {
         self.overdue.front().map_or(Time::NEVER, |overdue| overdue.at)
     }
 
@@ -55,23 +56,23 @@
     }
 
     pub fn insert(&mut self, deadline: Deadline) {
-        self.pending.insert(deadline);
+        self.upcoming.insert(deadline);
     }
 
-    /// Removes a deadline if it is still pending.
+    /// Removes a deadline if it has not been handled yet.
     pub fn remove(&mut self, deadline: Deadline) {
-        self.pending.remove(&deadline);
+        self.upcoming.remove(&deadline);
     }
 
-    /// Removes all pending deadlines and overdue requests; keeps the upper limit.
+    /// Removes all upcoming deadlines and overdue requests; keeps the upper limit.
     pub fn clear(&mut self) {
-        self.pending.clear();
+        self.upcoming.clear();
         self.overdue.clear();
     }
 
     fn pop_due(&mut self, now: Time) -> Option<Deadline> {
-        let due = self.pending.first().filter(|deadline| deadline.at <= now).copied()?;
-        self.pending.pop_first();
+        let due = self.upcoming.first().filter(|deadline| deadline.at <= now).copied()?;
+        self.upcoming.pop_first();
         Some(due)
     }
 
--- a/src/bin/load-balancer-proxy/dispatcher/message_handling.rs
+++ b/src/bin/load-balancer-proxy/dispatcher/message_handling.rs
@@ -88,7 +88,7 @@
     /// refer to the replaced settings.
     fn settings_replaced(&mut self, replacement: SettingsReplacement) {
         let SettingsReplacement { settings, update, replaced_settings_sender } = replacement;
-        self.pool.set_timeouts(settings.connect_timeout, settings.idle_timeout);
+        self.pool.set_timeouts(settings.connect_timeout, settings.backend_idle_timeout);
         let replaced = std::mem::replace(&mut self.settings, settings);
         let _ = replaced_settings_sender.send(replaced);
         self.events.push(Event::ConfigReplaced(update));
--- a/src/bin/load-balancer-proxy/dispatcher/mod.rs
+++ b/src/bin/load-balancer-proxy/dispatcher/mod.rs
@@ -139,11 +139,11 @@
         }
     }
 
-    /// Returns the time of the next wake-up if no message arrives. Request deadlines are handled at any time,
-    /// all other work not before the next tick.
+    /// Returns the time of the next wake-up if no message arrives. Deadlines expire at any time. Events,
+    /// timers and overdue requests are handled in ticks, so not before `next_tick`.
     fn next_wakeup(&self) -> Time {
         let balancer_due = if self.events.is_empty() { self.timers.next() } else { self.next_tick };
-        let tick_due = balancer_due.min(self.deadlines.next_overdue()).max(self.next_tick);
+        let tick_due = balancer_due.min(self.deadlines.next_grace_end()).max(self.next_tick);
         tick_due.min(self.deadlines.next())
     }
 
@@ -151,8 +151,8 @@
         self.expire_deadlines(now);
         if now >= self.next_tick {
             self.run_tick(now);
-            // Must follow the tick: after a late wake-up, a request's grace period may end in the same
-            // tick in which the balancer answers it.
+            // Must follow the tick: after a late wake-up, the balancer may answer a request in this tick
+            // although its grace period has ended.
             self.fail_overdue(now);
         }
     }
--- a/src/bin/load-balancer-proxy/dispatcher/tests.rs
+++ b/src/bin/load-balancer-proxy/dispatcher/tests.rs
@@ -27,7 +27,7 @@
         balancer: Config::example(),
         names: Default::default(),
         max_open_requests: 8,
-        idle_timeout: SECOND,
+        backend_idle_timeout: SECOND,
         connect_timeout: SECOND,
         drain_notice_limit: SECOND,
         longest_deadline: SECOND,
--- a/src/bin/load-balancer-proxy/reload/config_reader.rs
+++ b/src/bin/load-balancer-proxy/reload/config_reader.rs
@@ -74,7 +74,7 @@
     let mut config = config::load().map_err(|error| ReloadError::Config(error.to_string()))?;
     let kept_keys = restart_only.kept_keys(&RestartOnlySettings::of(&config));
     let settings = Arc::get_mut(&mut config.settings).ok_or(ReloadError::SettingsShared)?;
-    settings.version = current.version;
+    settings.version = current.version; // so that the comparison below ignores it
     if !restart_only.allows(settings.balancer.discovery) {
         settings.balancer.discovery = current.balancer.discovery;
     }
--- a/src/bin/load-balancer-proxy/reload/mod.rs
+++ b/src/bin/load-balancer-proxy/reload/mod.rs
@@ -1,9 +1,9 @@
 //! Configuration reload on SIGHUP: the file is read and validated on a separate thread and applied in one
 //! step.
 //!
-//! The settings that a reload may change are used by the server, which parses requests with them, by the
-//! dispatcher, which passes them on to the connection pool and the balancer, and by the discovery watch. The
-//! keys that need a restart are listed in `restart_only`.
+//! A reload changes the settings of the server, which parses requests with them, of the discovery watch and
+//! of the dispatcher. The dispatcher passes them on to the connection pool and the balancer. The keys that
+//! need a restart are listed in `restart_only`.
 
 mod config_reader;
 mod restart_only;
@@ -65,8 +65,8 @@
         loaded.await.map_err(|_| ReloadError::ThreadEnded)?
     }
 
-    /// Applies a configuration. There is no await point, and the dispatcher receives its message in order
-    /// with the requests, so that each request is handled under a single configuration.
+    /// Applies a configuration. Each request is handled under a single configuration, because there is no
+    /// await point and the dispatcher receives the new settings in order with the requests.
     fn apply(&self, loaded: LoadedConfig) {
         for kept in loaded.kept_keys {
             tracing::warn!(key = %kept.key, value = %kept.value, "SIGHUP: key needs a restart");
--- a/src/bin/load-balancer-proxy/server/client_connection.rs
+++ b/src/bin/load-balancer-proxy/server/client_connection.rs
@@ -18,13 +18,14 @@
 /// because silent peers would exhaust the file descriptors. The platform lets a proxy close idle connections
 /// after 2 s.
 const CLIENT_IDLE_TIMEOUT: Duration = Duration::from_millis(2100);
-/// Time within which a request must be received completely, counted from the opening of its connection, or
-/// from its own first byte if earlier requests on the connection were answered. A peer that never completes a
-/// request must get an error within 3 s; the difference allows for a stall of the process.
+/// Time within which a request must be received completely. For the first request of a connection, it is
+/// counted from the opening of the connection, for a later one from the first byte of the request. A peer
+/// that never completes a request must get an error within 3 s; the difference allows for a stall of the
+/// process.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(2750);
 /// At capacity, a connection without any input is closed after this time. Clients usually send their request
-/// much earlier. Also the minimum time from the accept to the idle timeout, however long the connection was
-/// queued.
+/// much earlier. Also the minimum time from the accept to the close for idleness, however long the connection
+/// was queued.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(100);
 /// At capacity, an incomplete request is answered with 408 after this time without further input. Also the
 /// minimum time from the accept to the read deadline of the first request, however long the connection was
@@ -86,8 +87,8 @@
     accepted_at: Time,
     /// Shared with the socket, which records the reads.
     pub read_times: Rc<ReadTimes>,
-    /// Time of the last response; `None` before the first one and once the head of the next request was read.
-    idle_since: Cell<Option<Time>>,
+    /// Time of the last response; `None` before the first response and while a request is handled.
+    last_response_at: Cell<Option<Time>>,
     /// Whether a request on the connection has been answered.
     has_answered: Cell<bool>,
     /// Whether the head of a request was read and the request is not answered yet.
@@ -114,7 +115,7 @@
             opened_at: accepted_at.saturating_sub(micros(accept_delay)),
             accepted_at,
             read_times: Rc::new(ReadTimes::new(clock)),
-            idle_since: Cell::default(),
+            last_response_at: Cell::default(),
             has_answered: Cell::default(),
             is_handling_request: Cell::default(),
             is_awaiting_response: Cell::default(),
@@ -128,7 +129,7 @@
     /// Records that the head of a request was read.
     pub fn begin_request(&self) {
         self.is_handling_request.set(true);
-        self.idle_since.set(None);
+        self.last_response_at.set(None);
     }
 
     /// Sets whether a request was read completely and awaits its response.
@@ -146,7 +147,7 @@
         self.is_handling_request.set(false);
         self.has_answered.set(true);
         self.read_times.first_byte_at.set(None);
-        self.idle_since.set(Some(self.clock.now()));
+        self.last_response_at.set(Some(self.clock.now()));
         self.became_idle.notify_one();
     }
 
@@ -170,8 +171,8 @@
     }
 
     /// Returns when and how the connection is closed unless its state changes. `None` while a request is
-    /// handled, because its body has a separate deadline, and if the connection was asked to close and no
-    /// request has begun.
+    /// handled, since reading its body and awaiting its response have deadlines of their own. Also `None` if
+    /// the connection was asked to close and no byte of a new request was read.
     pub fn close_deadline(&self) -> Option<CloseDeadline> {
         if self.is_handling_request.get() {
             return None;
@@ -186,9 +187,9 @@
         Some(CloseDeadline { at: self.idle_deadline(), mode: CloseMode::Graceful })
     }
 
-    /// Returns when and how the connection is closed at capacity because it is inactive. `None` if it was
-    /// asked to close, awaits a response, or is idle between requests. At capacity, connections that are idle
-    /// between requests are closed first, without a deadline.
+    /// Returns when and how the connection is closed for inactivity while the server is at capacity. `None`
+    /// if it was asked to close or awaits a response. Also `None` if it is idle between requests: such
+    /// connections are closed first, without a deadline.
     pub fn close_deadline_at_capacity(&self) -> Option<CloseDeadline> {
         if self.close_mode.get().is_some() || self.is_awaiting_response.get() || self.idle_since().is_some() {
             return None;
@@ -206,8 +207,8 @@
     }
 
     /// Asks the connection to close if its [`close_deadline`](Self::close_deadline) has passed; returns
-    /// whether it has. The deadline is computed again here, because the first byte of a request changes it
-    /// without resetting the timer of the connection's task.
+    /// whether it has. The deadline is computed again here: the first byte of a request changes the deadline
+    /// but does not reset the timer of the connection's task.
     pub fn close_if_overdue(&self) -> bool {
         match self.close_deadline() {
             Some(deadline) if deadline.at <= self.clock.now() => {
@@ -235,7 +236,7 @@
     /// Returns since when the connection has been idle between requests. `None` before the first response and
     /// once the client has sent the first byte of the next request.
     pub fn idle_since(&self) -> Option<Time> {
-        self.idle_since.get().filter(|_| self.read_times.first_byte_at.get().is_none())
+        self.last_response_at.get().filter(|_| self.read_times.first_byte_at.get().is_none())
     }
 
     /// Whether the client has sent nothing since the connection was accepted.
@@ -255,8 +256,8 @@
     }
 
     fn idle_deadline(&self) -> Time {
-        match self.idle_since.get() {
-            Some(since) => since + micros(CLIENT_IDLE_TIMEOUT),
+        match self.last_response_at.get() {
+            Some(last_response_at) => last_response_at + micros(CLIENT_IDLE_TIMEOUT),
             None => {
                 let earliest = self.accepted_at + micros(SILENCE_TIMEOUT);
                 earliest.max(self.opened_at + micros(CLIENT_IDLE_TIMEOUT))
--- a/src/bin/load-balancer-proxy/server/client_socket.rs
+++ b/src/bin/load-balancer-proxy/server/client_socket.rs
@@ -1,8 +1,8 @@
 //! A client's socket. While a request awaits its response, the connection's task reads ahead from the socket
 //! to detect that the client has disconnected.
 //!
-//! hyper does not detect this in all cases: while a request awaits its response, it stops reading as soon as
-//! it has received a byte of the next request, and then does not see the end of the stream.
+//! hyper does not always detect this itself: if it receives a byte of the next request while a request awaits
+//! its response, it stops reading. It then does not see the end of the stream.
 
 use super::client_connection::ReadTimes;
 use crate::headers::MAX_BODY_BYTES;
@@ -47,7 +47,7 @@
     io: TokioIo<TcpStream>,
     /// Bytes that were read ahead and not passed to hyper yet.
     read_ahead: BytesMut,
-    /// Whether bytes were dropped because the buffer was full.
+    /// Whether bytes were dropped because the buffer was full. All later bytes are then dropped too.
     is_truncated: bool,
     has_written: bool,
     read_times: Rc<ReadTimes>,
@@ -125,6 +125,7 @@
 impl Read for ClientSocket {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context, mut buffer: ReadBufCursor) -> Poll<io::Result<()>> {
         let socket = &mut *self.0.borrow_mut();
+        // Reads from the stream if no byte was read ahead; otherwise passes the read-ahead bytes to hyper.
         if socket.read_ahead.is_empty() && !socket.is_truncated {
             let read = Pin::new(&mut socket.io).poll_read(cx, buffer);
             if matches!(read, Poll::Ready(Ok(()))) {
@@ -135,7 +136,7 @@
         if !socket.read_ahead.is_empty() {
             socket.read_times.record_read();
         }
-        // Once the buffer of a truncated stream is empty, hyper reads 0 bytes. It takes that for the end of
+        // If bytes were dropped, hyper gets 0 bytes once the buffer is empty. It takes that for the end of
         // the stream and closes the connection after the current response.
         let length = socket.read_ahead.len().min(buffer.remaining());
         buffer.put_slice(&socket.read_ahead[..length]);
--- a/src/bin/load-balancer-proxy/server/connection_task.rs
+++ b/src/bin/load-balancer-proxy/server/connection_task.rs
@@ -74,7 +74,8 @@
         });
     }
 
-    /// Serves a connection until it is closed.
+    /// Serves a connection until it is closed. The close deadline is computed again after each event that may
+    /// change it. Once the connection is asked to close, its state determines the [`CloseStep`].
     async fn serve_connection(&self, stream: TcpStream, client: &ClientConnection) {
         let service = service_fn(|request| self.handle_request(request, client));
         let mut http = http1::Builder::new();
@@ -82,7 +83,7 @@
         let socket = ClientSocket::new(stream, client.read_times.clone());
         let connection = http.serve_connection(socket.clone(), service);
         tokio::pin!(connection);
-        // Polled after `connection`, because the request handler that runs in it sets the flag.
+        // Polled after `connection`, which runs the request handler that sets `is_awaiting_response`.
         let disconnected = poll_fn(|cx| match client.is_awaiting_response() {
             true => socket.poll_disconnected(cx),
             false => Poll::Pending,
--- a/src/bin/load-balancer-proxy/stall_detector.rs
+++ b/src/bin/load-balancer-proxy/stall_detector.rs
@@ -42,7 +42,7 @@
     }
 
     /// Returns the earliest time at which input that is read at `now` may have arrived.
-    fn unobserved_since(&self, now: Time) -> Time {
+    fn earliest_arrival(&self, now: Time) -> Time {
         match &self.last_stall {
             Some(stall) if now - stall.end < CATCH_UP_TIME => stall.start.min(self.second_last),
             _ => self.second_last,
@@ -81,12 +81,12 @@
 
     /// Returns how long input that is read now may have waited before the event loop polled it.
     ///
-    /// Input may have arrived at any time since the poll before the one that delivered it. Just after a stall
-    /// it may have arrived since the last poll before the stall, because the first poll after a stall may
-    /// deliver nothing.
+    /// Input may have arrived at any time since the poll before the one that delivered it. Just after a
+    /// stall, the last poll before the stall counts instead, because the first poll after it may deliver
+    /// nothing.
     pub fn unobserved_time(&self) -> Micros {
         let now = self.clock.now();
         let polls = self.polls.lock().unwrap_or_else(PoisonError::into_inner);
-        (now - polls.unobserved_since(now)).min(MAX_UNOBSERVED)
+        (now - polls.earliest_arrival(now)).min(MAX_UNOBSERVED)
     }
 }
--- a/src/bin/load-balancer-proxy/startup.rs
+++ b/src/bin/load-balancer-proxy/startup.rs
@@ -143,7 +143,8 @@
     let (dispatcher, messages) = mpsc::unbounded_channel();
     let shared = SharedHandles { clock, dispatcher, resubscribe: Rc::default(), status: Rc::default() };
     let settings = &config.settings;
-    let pool = ConnectionPool::new(clock, settings.connect_timeout, settings.idle_timeout, limits.backends);
+    let pool =
+        ConnectionPool::new(clock, settings.connect_timeout, settings.backend_idle_timeout, limits.backends);
     let server = Server::new(server_handles(&shared, stall_detector), settings.clone(), limits.clients);
     let server = Rc::new(server);
     let (discovery_address, watched_address) = watch::channel(config.discovery);
--- a/src/bin/load-balancer-proxy/upstream/connection_pool.rs
+++ b/src/bin/load-balancer-proxy/upstream/connection_pool.rs
@@ -80,8 +80,8 @@
         pool
     }
 
-    /// Sets the connect timeout of connections that are opened from now on, and the idle timeout of all idle
-    /// connections, which is derived from the backends' idle timeout.
+    /// Sets the connect timeout of connections that are opened from now on. Derives the idle timeout, which
+    /// applies to all idle connections, from the backends' idle timeout.
     pub fn set_timeouts(&self, connect_timeout: Micros, backend_idle_timeout: Micros) {
         self.connect_timeout.set(connect_timeout);
         self.idle_timeout.set(backend_idle_timeout.times(IDLE_TIMEOUT_FRACTION).min(MAX_IDLE_TIMEOUT));
--- a/src/bin/simulator-adapter/replies.rs
+++ b/src/bin/simulator-adapter/replies.rs
@@ -1,7 +1,7 @@
 //! Writes the actions of balancers as lines of a reply.
 //!
-//! Instance names and backend addresses are checked on input to contain no characters that JSON escapes, so
-//! most lines are formatted without a JSON encoder.
+//! Most lines are formatted without a JSON encoder, because instance names and backend addresses contain no
+//! characters that JSON escapes. This is checked on input.
 
 use crate::endpoint_lists::EndpointLists;
 use load_balancer::wire::WireError;
--- a/src/discovery/call_times.rs
+++ b/src/discovery/call_times.rs
@@ -1,8 +1,8 @@
 //! Timeouts of calls to discovery and the backoff between calls.
 //!
-//! The timeout of a call is the change wait, for which discovery holds the call until a change occurs, plus
-//! a grace, after which a late response counts as lost. It must detect a lost call early enough that the next
-//! call gets its response before the platform considers the proxy notified of the changes that it missed. For
+//! The timeout of a call is the change wait plus a grace. Discovery holds a call until a change occurs, at
+//! most for the change wait. A call without a response at the end of the grace counts as lost. The next call
+//! must then be answered before the platform considers the proxy notified of the changes that it missed. For
 //! a subscribed list, this means change wait + grace + next call <= 6 s. A pushed list comes from an agent on
 //! the proxy's own machine; there the limit is the time within which requests to a draining backend must
 //! stop.
@@ -22,19 +22,19 @@
 /// reachable.
 const NOTIFICATION_DEADLINE: Duration = Duration::from_secs(6);
 /// The grace of calls to the fleet's discovery service.
-const POLL_GRACE: Duration = Duration::from_millis(1500);
+const SUBSCRIBE_GRACE: Duration = Duration::from_millis(1500);
 /// Time allowed for the call after a lost one: connecting, queueing at the service and the response.
 const NEXT_CALL_TIME: Duration = Duration::from_secs(1);
 /// Longest change wait of calls to the fleet's discovery service: as long as the limits allow, because every
 /// call puts load on the service.
-const MAX_POLL_WAIT: Duration =
-    NOTIFICATION_DEADLINE.saturating_sub(POLL_GRACE).saturating_sub(NEXT_CALL_TIME);
+const MAX_SUBSCRIBE_WAIT: Duration =
+    NOTIFICATION_DEADLINE.saturating_sub(SUBSCRIBE_GRACE).saturating_sub(NEXT_CALL_TIME);
 /// The waits of a fleet's proxies are spread over this fraction of the longest wait. A change completes the
-/// calls of all proxies at the same time. With equal waits, all proxies would then also detect an
-/// unresponsive service at the same time, and their next calls would queue there for too long.
-const POLL_SPREAD: f64 = 0.5;
-/// Time that a call for a snapshot may queue at the service. After a reload, the platform considers the proxy
-/// notified 4 s after the signal; this plus the grace is less.
+/// calls of all proxies at the same time. With equal waits, their next calls to an unresponsive service
+/// would also time out at the same time, and the calls after these would queue there for too long.
+const SUBSCRIBE_WAIT_SPREAD: f64 = 0.5;
+/// Time that a call for a snapshot may queue at the service. Together with the grace it must stay below 4 s:
+/// the platform considers the proxy notified 4 s after the signal for a reload.
 const SNAPSHOT_WAIT: Duration = Duration::from_secs(2);
 /// Backoff after the first failed call for a pushed list; it doubles with each further failure.
 pub(super) const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
@@ -59,11 +59,11 @@
                 grace: settings.drain_notice_limit / PUSH_GRACE_DIVISOR,
             },
             DiscoveryMode::Subscribe(_) => {
-                let wait_fraction = 1.0 - POLL_SPREAD * settings.fleet_position;
+                let wait_fraction = 1.0 - SUBSCRIBE_WAIT_SPREAD * settings.fleet_position;
                 CallTimes {
                     snapshot_wait: SNAPSHOT_WAIT.mul_f64(wait_fraction),
-                    change_wait: MAX_POLL_WAIT.mul_f64(wait_fraction),
-                    grace: POLL_GRACE,
+                    change_wait: MAX_SUBSCRIBE_WAIT.mul_f64(wait_fraction),
+                    grace: SUBSCRIBE_GRACE,
                 }
             }
         }
--- a/src/discovery/client.rs
+++ b/src/discovery/client.rs
@@ -34,7 +34,7 @@
     #[error("discovery answered with status {0}")]
     Status(StatusCode),
     /// The response body is not valid JSON.
-    #[error("expected JSON: {0}")]
+    #[error("expected JSON in the response of discovery: {0}")]
     NotJson(#[from] serde_json::Error),
     /// The JSON document is not an endpoint list.
     #[error(transparent)]
--- a/src/discovery/watch.rs
+++ b/src/discovery/watch.rs
@@ -92,16 +92,16 @@
     client: Client,
     /// Wait after the next failed call for a pushed list.
     backoff: Duration,
-    /// The next call is made when the balancer requests a subscription, not immediately.
+    /// Whether the next call is made only when the balancer requests a subscription, rather than immediately.
     waits_for_balancer: bool,
-    /// No call has completed since the address of discovery changed.
+    /// Whether no call has succeeded or failed since the address of discovery changed.
     is_first_call_after_address_change: bool,
 }
 
 impl RunningWatch {
     async fn run(mut self) {
         loop {
-            let outcome = if self.waits_for_balancer && !self.resubscribe_requested().await {
+            let outcome = if self.waits_for_balancer && !self.wait_for_subscription_request().await {
                 CallOutcome::AddressChanged
             } else {
                 self.call().await
@@ -119,7 +119,7 @@
 
     /// Waits until the balancer requests a subscription. Returns false if the address of discovery changes
     /// first.
-    async fn resubscribe_requested(&mut self) -> bool {
+    async fn wait_for_subscription_request(&mut self) -> bool {
         tokio::select! {
             biased;
             Ok(()) = self.watch.address.changed() => false,
--- a/src/net/resource_exhaustion.rs
+++ b/src/net/resource_exhaustion.rs
@@ -1,5 +1,5 @@
-//! Detects I/O errors that are caused by exhausted local resources rather than by one connection or the
-//! remote side, and retries operations that fail with them.
+//! Detects I/O errors that are caused by exhausted local resources, rather than by one connection or the
+//! remote side. Retries operations that fail with such errors.
 
 use std::io;
 use std::time::{Duration, Instant};
