--- a/src/bin/load-balancer-proxy/messages.rs
+++ b/src/bin/load-balancer-proxy/messages.rs
@@ -17,7 +17,7 @@
 pub enum FinalResponse {
     /// The response of a backend.
     Served(Response<Bytes>),
-    /// The request was not executed.
+    /// The request is rejected: a client retry has no duplicate effect.
     Rejected {
         /// Time after which the client may retry.
         retry_after: Micros,
--- a/src/bin/load-balancer-proxy/server/disconnect_guard.rs
+++ b/src/bin/load-balancer-proxy/server/disconnect_guard.rs
@@ -12,7 +12,7 @@
 pub(super) enum RequestOutcome {
     /// The client received the response of a backend.
     Served,
-    /// The client was told that the request was not executed.
+    /// The client was told that it may safely retry the request.
     Rejected,
     /// The client was told that the request failed; it may or may not have been executed.
     Failed,
--- a/src/bin/load-balancer-proxy/server/responses.rs
+++ b/src/bin/load-balancer-proxy/server/responses.rs
@@ -18,7 +18,7 @@
     response
 }
 
-/// Returns the response to a request that was not executed; the client may retry after `retry_after`.
+/// Returns the response to a rejected request, which the client may safely retry after `retry_after`.
 pub(super) fn rejected(retry_after: Micros) -> ServerResponse {
     let mut response = plain(StatusCode::SERVICE_UNAVAILABLE, "refused");
     let whole_seconds = retry_after.0.div_ceil(MICROS_PER_SECOND); // not every client parses fractions
